--- a/src/main/java/pondridge/Alarms.java
+++ b/src/main/java/pondridge/Alarms.java
@@ -25,7 +25,7 @@
     void flush() {
         if (!queue.isEmpty() && queue.peek().at < timerAt) {
             timerAt = queue.peek().at;
-            actions.timer(++timerToken, timerAt);
+            actions.setTimer(++timerToken, timerAt);
         }
     }
 
--- a/src/main/java/pondridge/Balancer.java
+++ b/src/main/java/pondridge/Balancer.java
@@ -8,10 +8,10 @@
  *
  * <p><b>What the host owes.</b> One instance belongs to one sidecar and one thread. Every event carries the
  * time in nanoseconds on one clock that never runs back; its zero has no meaning. {@link #start} comes first,
- * then {@link #listChanged} with a {@link ListKind#CACHED} list. Request ids are never used twice. Every
- * {@link Actions#send} is answered by exactly one {@link #outcome}, also after the request has ended, and
- * attempts are numbered 0, 1, 2, ... in the order of their sends. Timers fire at or after their time, never
- * inside the call that set them. A restart of the sidecar is a new instance with a new seed.
+ * then {@link #listUpdated} with a {@link ListUpdateType#CACHED} list. Request ids are never used twice.
+ * Every {@link Actions#send} is answered by exactly one {@link #attemptEnded}, also after the request has
+ * ended, and attempts are numbered 0, 1, 2, ... in the order of their sends. Timers fire at or after their
+ * time, never inside the call that set them. A restart of the sidecar is a new instance with a new seed.
  *
  * <p><b>What the instance owes.</b> Actions are given during an event's call and take effect at that event's
  * time, in order. Each request gets one final answer: the first {@link Outcome#OK} (the host passes it on),
@@ -58,10 +58,10 @@
     enum Semantics { REPEATABLE, BY_KEY, ONCE }
 
     /** Which upstreams drop a repeat of a keyed request: all, those of one zone, those of one cell. */
-    enum Scope { ALL, ZONE, CELL }
+    enum KeyScope { ALL, ZONE, CELL }
 
     /** Why a request was given up: for operators, who follow it through the log. */
-    enum Reason {
+    enum FailureReason {
         /** Its time ran out. */
         DEADLINE,
         /** No upstream is ready. */
@@ -79,36 +79,37 @@
     }
 
     /** State of an upstream in a list. */
-    enum State { GONE, READY, DRAINING }
+    enum UpstreamState { GONE, READY, DRAINING }
 
     /**
      * Kind of a list event: changes only, everything, the last list known before a start, or a failed
      * call.
      */
-    enum ListKind { DELTA, FULL, CACHED, FAILED }
+    enum ListUpdateType { DELTA, FULL, CACHED, FAILED }
 
     /** Whether the list comes by itself or must be subscribed to. */
-    enum Discovery { AUTOMATIC, SUBSCRIBE }
+    enum DiscoveryMode { AUTOMATIC, SUBSCRIBE }
 
     /** What {@link Upstream#weight()} holds; LIVE changes with the load, SILENT is always 1. */
-    enum Weights { SILENT, NOMINAL, ROUGH, LIVE }
+    enum WeightMode { SILENT, NOMINAL, ROUGH, LIVE }
 
     /**
      * A class of request; times in nanoseconds.
      *
-     * @param aim an answer within this time earns the full worth
-     * @param aimStretch the aim grows by this many times the request's own work, up to the deadline
+     * @param latencyTarget an answer within this time earns the full worth
+     * @param latencyTargetCostFactor the aim grows by this many times the request's own work, up to the
+     *     deadline
      * @param deadline the longest a client waits over all its tries
-     * @param lateShare part of the worth earned between aim and deadline
+     * @param lateValueShare part of the worth earned between aim and deadline
      * @param keyTtl for BY_KEY: how long repeats are dropped, from the first send that may have run
-     * @param stream the answer streams: {@link Balancer#firstByte} tells of its start
+     * @param streaming the answer streams: {@link Balancer#firstByte} tells of its start
      */
-    record RequestClass(long aim, double aimStretch, long deadline, double worth, double lateShare,
-            Semantics semantics, Scope scope, long keyTtl, boolean stream) {
+    record RequestClass(long latencyTarget, double latencyTargetCostFactor, long deadline, double value,
+            double lateValueShare, Semantics semantics, KeyScope scope, long keyTtl, boolean streaming) {
         public RequestClass {
-            require(aim > 0, "class aim");
-            require(deadline >= aim, "class deadline");
-            require(worth >= 0 && Double.isFinite(worth), "class worth");
+            require(latencyTarget > 0, "class aim");
+            require(deadline >= latencyTarget, "class deadline");
+            require(value >= 0 && Double.isFinite(value), "class worth");
             require(semantics != Semantics.BY_KEY || keyTtl >= 0 && scope != null, "class key scope and ttl");
         }
     }
@@ -117,9 +118,9 @@
      * A tenant: its part of the service and the rate, over all sidecars, up to which its work has full
      * worth.
      */
-    record Tenant(double portion, double quotaPerSecond) {
+    record Tenant(double share, double quotaPerSecond) {
         public Tenant {
-            require(portion >= 0 && quotaPerSecond >= 0, "tenant portion and quota");
+            require(share >= 0 && quotaPerSecond >= 0, "tenant portion and quota");
         }
     }
 
@@ -127,31 +128,31 @@
      * What the host allows; a disallowed action is never asked for. {@link Rules} makes no use of
      * parallel tries so far.
      */
-    record Allowed(boolean cancel, boolean probes, boolean peers, boolean parallelTries, boolean retryAfter,
-            int tryLimit, long maxRetryAfter, long connectTimeout) {
-        public Allowed {
-            require(tryLimit >= 1, "try limit");
+    record Capabilities(boolean cancel, boolean probes, boolean peers, boolean parallelAttempts,
+            boolean retryAfter, int maxAttempts, long maxRetryAfter, long connectTimeout) {
+        public Capabilities {
+            require(maxAttempts >= 1, "try limit");
             require(maxRetryAfter >= 0 && connectTimeout >= 0, "retry-after and connect time-out");
         }
     }
 
     /** What the host is charged, as a part of all worth: for one probe a first try, for one full message. */
-    record Charges(double probe, double peer) {
-        public Charges {
-            require(probe >= 0 && peer >= 0, "charges");
+    record Costs(double probe, double peerMessage) {
+        public Costs {
+            require(probe >= 0 && peerMessage >= 0, "charges");
         }
 
         /** Nothing is charged for. */
-        public static final Charges NONE = new Charges(0, 0);
+        public static final Costs NONE = new Costs(0, 0);
     }
 
     /** The numbers behind the four rules; times in nanoseconds. */
-    record Limits(long answerSlack, long askWithin, long drainGrace, double coldShare, long rampTime,
-            double overloadFactor, long tipAfter) {
+    record Limits(long answerSlack, long listRenewalInterval, long drainGrace, double coldCapacityShare,
+            long rampTime, double overloadFactor, long overloadWindow) {
         public Limits {
-            require(answerSlack >= 0 && askWithin >= 0 && drainGrace >= 0, "rule times");
-            require(coldShare > 0 && coldShare <= 1, "cold share");
-            require(rampTime >= 0 && tipAfter >= 0, "ramp and tip times");
+            require(answerSlack >= 0 && listRenewalInterval >= 0 && drainGrace >= 0, "rule times");
+            require(coldCapacityShare > 0 && coldCapacityShare <= 1, "cold share");
+            require(rampTime >= 0 && overloadWindow >= 0, "ramp and tip times");
             require(overloadFactor >= 1, "overload factor");
         }
     }
@@ -160,20 +161,21 @@
      * What an instance is set to. {@link Rules} makes no use of zone, weights,
      * the unit of worth or the worth over share; hosts fill them in for modules that do.
      *
-     * @param rank this sidecar's number among {@code replicas}
-     * @param quantum shortest time between two events
+     * @param sidecarIndex this sidecar's number among {@code sidecarCount}
+     * @param tickInterval shortest time between two events
      * @param reportFields names of the values in a load report
      * @param valueByWork worth counts per unit of work, not per request
-     * @param overShareWorth what a request beyond its tenant's quota is worth, as a part of its class's worth
+     * @param overQuotaValue what a request beyond its tenant's quota is worth, as a part of its class's worth
      */
-    record Settings(int rank, int replicas, int zone, long quantum, Discovery discovery, Weights weights,
-            List<RequestClass> classes, List<Tenant> tenants, Allowed allowed, Limits limits,
-            List<String> reportFields, Charges charges, boolean valueByWork, double overShareWorth) {
+    record Settings(int sidecarIndex, int sidecarCount, int zone, long tickInterval, DiscoveryMode discovery,
+            WeightMode weights, List<RequestClass> classes, List<Tenant> tenants, Capabilities capabilities,
+            Limits limits, List<String> reportFields, Costs costs, boolean valueByWork,
+            double overQuotaValue) {
         public Settings {
-            require(replicas >= 1 && rank >= 0, "rank and replicas");
-            require(quantum >= 0, "quantum");
+            require(sidecarCount >= 1 && sidecarIndex >= 0, "rank and replicas");
+            require(tickInterval >= 0, "quantum");
             require(!classes.isEmpty(), "classes");
-            require(overShareWorth >= 0 && overShareWorth <= 1, "over-share worth");
+            require(overQuotaValue >= 0 && overQuotaValue <= 1, "over-share worth");
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
             reportFields = List.copyOf(reportFields);
@@ -186,10 +188,11 @@
      * @param id opaque and stable over restarts
      * @param startedAt when it last started; 0 for long ago
      */
-    record Upstream(long id, int zone, int kind, int cell, State state, float weight, long startedAt) {
+    record Upstream(long id, int zone, int model, int cell, UpstreamState state, float weight,
+            long startedAt) {
         /** The same upstream, gone. */
         public Upstream gone() {
-            return new Upstream(id, zone, kind, cell, State.GONE, weight, startedAt);
+            return new Upstream(id, zone, model, cell, UpstreamState.GONE, weight, startedAt);
         }
     }
 
@@ -197,14 +200,15 @@
      * A client's request.
      *
      * @param timeLeft until the client gives this try up
-     * @param reserve the last part of {@code timeLeft}, which the host needs: the answer is due before it
+     * @param responseReserve the last part of {@code timeLeft}, which the host needs: the answer is due
+     *     before it
      * @param costHint rough work to expect in nanoseconds; 0 where unknown
      * @param clientRetry the client marked it as a repeat
      */
-    record Request(long id, int requestClass, int tenant, long key, long timeLeft, long reserve,
+    record Request(long id, int classIndex, int tenant, long key, long timeLeft, long responseReserve,
             long costHint, boolean clientRetry, boolean write) {
         public Request {
-            require(reserve >= 0, "request reserve");
+            require(responseReserve >= 0, "request reserve");
         }
     }
 
@@ -213,26 +217,26 @@
         /** Starts the request's next attempt; a time-out of 0 lasts until the client gives up. */
         void send(long request, long upstream, long timeout);
 
-        /** Final answer: not done, a retry is harmless; {@code wait} 0 gives no guidance. */
-        void refuse(long request, long wait, Reason reason);
+        /** Final answer: not done, a retry is harmless; {@code retryAfter} 0 gives no guidance. */
+        void refuse(long request, long retryAfter, FailureReason reason);
 
         /** Final answer: failed, with no promise about effects. */
-        void fail(long request, Reason reason);
+        void fail(long request, FailureReason reason);
 
         /** Stops waiting for one attempt. */
         void cancel(long request, int attempt);
 
-        /** Asks for {@link Balancer#timer} with this token at or after a time. */
-        void timer(long token, long at);
+        /** Asks for {@link Balancer#timerFired} with this token at or after a time. */
+        void setTimer(long token, long at);
 
         /** Probes an upstream. */
         void probe(long upstream);
 
         /** Closes idle connections to an upstream. */
-        void closeIdle(long upstream);
+        void closeIdleConnections(long upstream);
 
         /** Sends at most 256 bytes to a peer, or to every one if {@code peer} is {@link #ALL_PEERS}. */
-        void tell(int peer, byte[] message);
+        void sendToPeer(int peer, byte[] message);
 
         /** Writes a line for operators. */
         void log(String line);
@@ -250,33 +254,33 @@
     /** The instance begins. */
     void start(long now);
 
-    /** News of the list; {@code entries} is empty for {@link ListKind#FAILED}. */
-    void listChanged(long now, ListKind kind, List<Upstream> entries);
+    /** News of the list; {@code entries} is empty for {@link ListUpdateType#FAILED}. */
+    void listUpdated(long now, ListUpdateType kind, List<Upstream> entries);
 
     /** A client's request has arrived. */
-    void request(long now, Request request);
+    void requestArrived(long now, Request request);
 
     /** A streamed answer has begun: its attempt belongs to the client, its deadline no longer holds. */
     void firstByte(long now, long request, int attempt, long upstream, long elapsed);
 
-    /** An attempt has ended; {@code ended} says that the request has, by this outcome or before. */
-    void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-            boolean ended, float[] load);
+    /** An attempt has ended; {@code requestFinished} says that the request has, by this outcome or before. */
+    void attemptEnded(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
+            boolean requestFinished, float[] load);
 
     /** The client has left. */
-    void hangup(long now, long request);
+    void clientDisconnected(long now, long request);
 
     /** A timer is due. */
-    void timer(long now, long token);
+    void timerFired(long now, long token);
 
     /** A probe's result. */
     default void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) { }
 
     /** A message from another sidecar of this tier. */
-    default void peerMessage(long now, int from, byte[] message) { }
+    default void peerMessageReceived(long now, int from, byte[] message) { }
 
     /** What the decisions rest on now, and what came of attempts since it was last asked: one line. */
-    String state(long now);
+    String describeState(long now);
 
     private static void require(boolean holds, String setting) {
         if (!holds) {
--- a/src/main/java/pondridge/Options.java
+++ b/src/main/java/pondridge/Options.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Charges;
-import pondridge.Balancer.Discovery;
+import pondridge.Balancer.Capabilities;
+import pondridge.Balancer.Costs;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Limits;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
 import pondridge.Balancer.Semantics;
 import pondridge.Balancer.Settings;
 import pondridge.Balancer.Tenant;
-import pondridge.Balancer.Weights;
+import pondridge.Balancer.WeightMode;
 
 /**
  * The one reader of an instance's settings, for every host: turns path=value lines into {@link Settings} and
@@ -48,10 +48,11 @@
             tenants.add(new Tenant(number(path + "portion", 0), number(path + "quotaRps", 0)));
         }
         return new Settings((int) number("rank", 0), (int) number("replicasOfMe", 1), (int) number("zone", 0),
-                (long) number("quantum", 0), choice(Discovery.class, "discovery", Discovery.AUTOMATIC),
-                choice(Weights.class, "weights", Weights.SILENT), classes, tenants,
+                (long) number("quantum", 0),
+                choice(DiscoveryMode.class, "discovery", DiscoveryMode.AUTOMATIC),
+                choice(WeightMode.class, "weights", WeightMode.SILENT), classes, tenants,
                 allowed(), limits(), list("report.fields"),
-                new Charges(number("charges.probe", 0), number("charges.peer", 0)),
+                new Costs(number("charges.probe", 0), number("charges.peer", 0)),
                 "work".equals(values.get("valueBy")), number("overShareWorth", 1));
     }
 
@@ -59,12 +60,12 @@
         Semantics semantics = choice(Semantics.class, path + "semantics", null);
         return new RequestClass((long) required(path + "slo"), number(path + "aimStretch", 0),
                 (long) required(path + "deadline"), number(path + "worth", 1), number(path + "lateShare", 0),
-                semantics, choice(Scope.class, path + "keyScope", Scope.CELL),
+                semantics, choice(KeyScope.class, path + "keyScope", KeyScope.CELL),
                 (long) number(path + "keyTtl", 0), flag(path + "stream"));
     }
 
-    private Allowed allowed() {
-        return new Allowed(flag("caps.mayCancel"), flag("caps.mayProbe"), flag("caps.peers"),
+    private Capabilities allowed() {
+        return new Capabilities(flag("caps.mayCancel"), flag("caps.mayProbe"), flag("caps.peers"),
                 flag("caps.parallelTries"), flag("caps.retryAfter"), (int) number("caps.tryLimit", 1),
                 (long) number("caps.maxRetryAfter", 0), (long) number("caps.connectTimeout", 0));
     }
--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -58,16 +58,16 @@
     }
 
     @Override
-    public void listChanged(long now, ListKind kind, List<Upstream> entries) {
+    public void listUpdated(long now, ListUpdateType kind, List<Upstream> entries) {
         roster.listChanged(now, kind, entries);
         admission.drain(now);
         alarms.flush();
     }
 
     @Override
-    public void request(long now, Request request) {
-        if (request.requestClass() >= settings.classes().size()) {
-            throw new IllegalArgumentException("request of unknown class " + request.requestClass());
+    public void requestArrived(long now, Request request) {
+        if (request.classIndex() >= settings.classes().size()) {
+            throw new IllegalArgumentException("request of unknown class " + request.classIndex());
         }
         Call call = ledger.open(now, request);
         admission.admit(now, call);
@@ -83,9 +83,9 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-            boolean ended, float[] load) {
-        ledger.outcome(now, request, attempt, outcome, ended);
+    public void attemptEnded(long now, long request, int attempt, long upstream, Outcome outcome,
+            long elapsed, boolean requestFinished, float[] load) {
+        ledger.outcome(now, request, attempt, outcome, requestFinished);
         admission.drain(now);
         alarms.flush();
     }
@@ -100,14 +100,14 @@
     }
 
     @Override
-    public void peerMessage(long now, int from, byte[] message) {
-        if (from != settings.rank()) {
+    public void peerMessageReceived(long now, int from, byte[] message) {
+        if (from != settings.sidecarIndex()) {
             warnings.heard(now, message);
         }
     }
 
     @Override
-    public void hangup(long now, long request) {
+    public void clientDisconnected(long now, long request) {
         Call call = ledger.calls.get(request);
         if (call != null) {
             ledger.close(call);
@@ -115,14 +115,14 @@
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
         alarms.ring(now, token);
         admission.drain(now);
         alarms.flush();
     }
 
     @Override
-    public String state(long now) {
+    public String describeState(long now) {
         String usual = Arrays.stream(health.usual).map(each -> Long.toString((long) each.mean / 1_000_000))
                 .collect(Collectors.joining("/"));
         String line = roster.ready.size() + " ready of " + roster.servers.size() + " known, "
@@ -307,10 +307,11 @@
         Call(Request request, RequestClass kind, long now, long elapsed) {
             this.request = request;
             this.kind = kind;
-            this.deadline = now + request.timeLeft() - request.reserve();
-            double stretched = kind.aim() + kind.aimStretch() * request.costHint();
+            this.deadline = now + request.timeLeft() - request.responseReserve();
+            double stretched = kind.latencyTarget() + kind.latencyTargetCostFactor() * request.costHint();
             this.aim = (long) Math.min(stretched, kind.deadline());
-            this.aimAt = now - elapsed - request.reserve() / 2 + Math.min(request.timeLeft() + elapsed, aim);
+            this.aimAt = now - elapsed - request.responseReserve() / 2
+                    + Math.min(request.timeLeft() + elapsed, aim);
         }
 
         /** Whether the last attempt is out; there is never more than one. */
@@ -324,15 +325,15 @@
         private final Map<Long, Call> calls = new HashMap<>();
 
         Call open(long now, Request request) {
-            Call call = new Call(request, settings.classes().get(request.requestClass()), now,
+            Call call = new Call(request, settings.classes().get(request.classIndex()), now,
                     admission.elapsed(request));
             // Danger: answers of no time would bring alarms an expected time apart to a stand.
             call.expected = Math.max(call.aim / 1000.0,
-                    health.usual[request.requestClass()].expected(request.costHint()));
+                    health.usual[request.classIndex()].expected(request.costHint()));
             calls.put(request.id(), call);
             alarms.set(call.deadline, at -> {
                 if (!call.streaming) {
-                    answer(call, Reason.DEADLINE);
+                    answer(call, FailureReason.DEADLINE);
                 }
             });
             return call;
@@ -351,7 +352,7 @@
         /** Whether some further attempt is allowed now, whichever server it goes to. */
         boolean mayTryAgain(long now, Call call) {
             if (call.closed || call.streaming || now >= call.deadline
-                    || call.waiting() || call.attempts.size() >= settings.allowed().tryLimit()) {
+                    || call.waiting() || call.attempts.size() >= settings.capabilities().maxAttempts()) {
                 return false;
             }
             Attempt doubt = firstDoubt(call);
@@ -359,7 +360,7 @@
                 case REPEATABLE -> true;
                 case ONCE -> false;
                 // One quantum is kept back: the send takes effect at the end of this batch.
-                case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
+                case BY_KEY -> now + settings.tickInterval() < doubt.sentAt + call.kind.keyTtl();
             };
         }
 
@@ -395,7 +396,7 @@
             server.inFlight++;
             // Danger: work past its aim keeps a core from work that can still be in time. It is given up only
             // where looks show what an upstream holds; elsewhere given-up work would run on unseen.
-            boolean worthless = reports.looks() && call.kind.lateShare() == 0 && call.aimAt > now;
+            boolean worthless = reports.looks() && call.kind.lateValueShare() == 0 && call.aimAt > now;
             actions.send(call.request.id(), server.entry.id(), worthless ? call.aimAt - now : 0);
             admission.unjudged++;
             alarms.set(Math.max(now, call.aimAt) + 1, at -> admission.judge(at, attempt, false, call.aim));
@@ -431,17 +432,17 @@
                     && admission.worthRetry(now, call)) {
                 admission.admit(now, call);
             } else {
-                answer(call, now >= call.deadline ? Reason.DEADLINE : Reason.ATTEMPT_FAILED);
+                answer(call, now >= call.deadline ? FailureReason.DEADLINE : FailureReason.ATTEMPT_FAILED);
             }
         }
 
         /** Gives the final answer: refused where a client's retry is known to be harmless, else failed. */
-        void answer(Call call, Reason reason) {
+        void answer(Call call, FailureReason reason) {
             if (call.closed) {
                 return;
             }
             boolean harmless = firstDoubt(call) == null || call.kind.semantics() == Semantics.REPEATABLE
-                    || call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == Scope.ALL;
+                    || call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == KeyScope.ALL;
             if (harmless) {
                 actions.refuse(call.request.id(), admission.stayAway(call), reason);
             } else {
@@ -452,7 +453,7 @@
 
         /** Nothing is sent for a closed request; its outstanding attempt still counts as in flight. */
         void close(Call call) {
-            if (!call.closed && call.waiting() && !call.streaming && settings.allowed().cancel()) {
+            if (!call.closed && call.waiting() && !call.streaming && settings.capabilities().cancel()) {
                 actions.cancel(call.request.id(), call.attempts.size() - 1);
             }
             call.closed = true;
@@ -478,9 +479,9 @@
         private long began;
 
         void follow(long now) {
-            if (settings.discovery() == Discovery.SUBSCRIBE) {
+            if (settings.discovery() == DiscoveryMode.SUBSCRIBE) {
                 actions.subscribe(true);
-                followAgain(now + settings.limits().askWithin() / 2);
+                followAgain(now + settings.limits().listRenewalInterval() / 2);
             }
         }
 
@@ -493,20 +494,21 @@
             });
         }
 
-        void listChanged(long now, ListKind kind, List<Upstream> entries) {
-            if (kind == ListKind.FAILED) {
+        void listChanged(long now, ListUpdateType kind, List<Upstream> entries) {
+            if (kind == ListUpdateType.FAILED) {
                 // Danger: a broken subscription is silent from now on. Backs off, with jitter, so that many
                 // sidecars whose calls failed together do not hammer discovery together.
-                long base = Math.max(settings.quantum(), settings.limits().askWithin() / 40);
-                retryWait = Math.max(base, Math.min(retryWait * 2, settings.limits().askWithin() / 2));
+                long base = Math.max(settings.tickInterval(), settings.limits().listRenewalInterval() / 40);
+                retryWait = Math.max(base,
+                        Math.min(retryWait * 2, settings.limits().listRenewalInterval() / 2));
                 followAgain(now + retryWait / 2 + random.nextLong(retryWait / 2 + 1));
                 return;
             }
-            if (kind != ListKind.CACHED) {
+            if (kind != ListUpdateType.CACHED) {
                 asked++;
                 retryWait = 0;
             }
-            Set<Long> missing = new TreeSet<>(kind == ListKind.DELTA ? Set.of() : servers.keySet());
+            Set<Long> missing = new TreeSet<>(kind == ListUpdateType.DELTA ? Set.of() : servers.keySet());
             boolean changed = false;
             for (Upstream entry : entries) {
                 missing.remove(entry.id());
@@ -517,7 +519,8 @@
             }
             listed = true;
             if (changed) {
-                ready = servers.values().stream().filter(s -> s.entry.state() == State.READY).toList();
+                ready = servers.values().stream().filter(s -> s.entry.state() == UpstreamState.READY)
+                        .toList();
                 findCold(now);
                 pattern.redraw(ready);
                 warnings.name(ready);
@@ -526,7 +529,7 @@
 
         /** What has left the list is kept no longer than its attempts are out. */
         void forget(Server server) {
-            if (server.entry.state() == State.GONE && server.inFlight == 0) {
+            if (server.entry.state() == UpstreamState.GONE && server.inFlight == 0) {
                 servers.remove(server.entry.id(), server);
             }
         }
@@ -584,7 +587,7 @@
         /** Takes one line over; true if the set of ready servers changed. */
         private boolean update(long now, Upstream entry) {
             Server server = servers.get(entry.id());
-            boolean wasReady = server != null && server.entry.state() == State.READY;
+            boolean wasReady = server != null && server.entry.state() == UpstreamState.READY;
             // A restarted process shares nothing with the one before: not its load, nor its faults.
             boolean fresh = server == null || entry.startedAt() > server.entry.startedAt();
             if (fresh) {
@@ -598,7 +601,8 @@
             }
             server.entry = entry;
             forget(server);
-            return wasReady != (entry.state() == State.READY) || fresh && entry.state() == State.READY;
+            return wasReady != (entry.state() == UpstreamState.READY)
+                    || fresh && entry.state() == UpstreamState.READY;
         }
 
         /**
@@ -612,7 +616,7 @@
             }
             double warmth = Math.max(0, Math.min(1,
                     1 - (server.coldUntil - now) / (double) settings.limits().rampTime()));
-            double cold = settings.limits().coldShare();
+            double cold = settings.limits().coldCapacityShare();
             double rate = comparable(now) * (cold + (1 - cold) * warmth) * lean(now, warmth);
             if (rate == 0) {
                 // Nothing to compare with yet. Danger: one at a time is one from every sidecar at once, so a
@@ -625,7 +629,7 @@
                 server.coldMet = true;
                 server.coldTokens = -random.nextDouble() * work(call);
             }
-            double depth = rate * settings.limits().tipAfter() / 2;
+            double depth = rate * settings.limits().overloadWindow() / 2;
             server.coldTokens = Math.min(depth, server.coldTokens + rate * (now - server.coldAt));
             server.coldAt = now;
             return server.coldTokens >= 0 && server.inFlight <= 1 + server.limit / 2;
@@ -639,7 +643,7 @@
         private double comparable(long now) {
             int warmOnes = warm(now);
             double window = settings.limits().rampTime();
-            double run = Math.max(settings.limits().tipAfter(), now - began);
+            double run = Math.max(settings.limits().overloadWindow(), now - began);
             return warmOnes == 0 ? 0
                     : served.value(now) / warmOnes / (window * (1 - Math.exp(-run / window)));
         }
@@ -719,7 +723,7 @@
         private double fastest = 1;
 
         Pace pace(Server server) {
-            return paces.computeIfAbsent(server.entry.kind(), kind -> new Pace());
+            return paces.computeIfAbsent(server.entry.model(), kind -> new Pace());
         }
 
         /**
@@ -751,9 +755,9 @@
 
         Health() {
             for (int i = 0; i < usual.length; i++) {
-                usual[i] = new Usual(settings.classes().get(i).aim() / 10.0);
+                usual[i] = new Usual(settings.classes().get(i).latencyTarget() / 10.0);
             }
-            firstBackoff = settings.classes().stream().mapToLong(RequestClass::aim).min().orElse(1);
+            firstBackoff = settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(1);
             lately = 8.0 * firstBackoff;
             turns = new FadingSum(lately, 0);
         }
@@ -834,7 +838,7 @@
                     reports.learn(attempt, now - attempt.sentAt);
                     roster.answered(now, attempt, (now - attempt.sentAt) / call.expected);
                     learnPace(server, (now - attempt.sentAt) / call.expected);
-                    usual[call.request.requestClass()].learn(now - attempt.sentAt, call.request.costHint());
+                    usual[call.request.classIndex()].learn(now - attempt.sentAt, call.request.costHint());
                     heard(server);
                 }
                 case ERROR, RESET -> {
@@ -922,7 +926,7 @@
             for (int i = 0; i < shares.length; i++) {
                 double quota = settings.tenants().isEmpty() ? 1 : settings.tenants().get(i).quotaPerSecond();
                 // Four aims: long against answers, short against a burst of some seconds.
-                shares[i] = new Share(quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).aim());
+                shares[i] = new Share(quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).latencyTarget());
             }
         }
 
@@ -932,9 +936,9 @@
          * (it loses its place once two of three differ) and any other tells the time spent.
          */
         long elapsed(Request request) {
-            int kind = request.requestClass();
+            int kind = request.classIndex();
             long left = request.timeLeft();
-            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.quantum()) {
+            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.tickInterval()) {
                 firstVotes[kind] = Math.min(firstVotes[kind] + 2, MANY_VOTES);
                 return 0;
             }
@@ -949,20 +953,22 @@
         /** Sends a request now, or holds it while it can still be answered within its aim. */
         void admit(long now, Call call) {
             if (now >= call.deadline || roster.ready.isEmpty()) {
-                ledger.answer(call, now >= call.deadline ? Reason.DEADLINE : Reason.NO_UPSTREAM);
+                ledger.answer(call, now >= call.deadline
+                        ? FailureReason.DEADLINE : FailureReason.NO_UPSTREAM);
                 return;
             }
             int ease = call.request.clientRetry() ? 3 : 1;
             if (call.attempts.isEmpty() && !call.asked && random.nextDouble() < ease * shedding(now)) {
                 spared.add(now, 1);
-                ledger.answer(call, Reason.SHED);
+                ledger.answer(call, FailureReason.SHED);
                 return;
             }
             if (reports.ask(now, call)) {
                 return;
             }
             if (call.attempts.isEmpty() && now + call.expected / 2 >= call.aimAt) {
-                ledger.answer(call, Reason.TOO_LATE);  // a client's later try that can hardly be in time
+                // a client's later try that can hardly be in time
+                ledger.answer(call, FailureReason.TOO_LATE);
             } else if (held > 0 || !place(now, call)) {
                 call.held = true;
                 share(call).held.push(call);
@@ -970,7 +976,7 @@
                 long hopeless = call.aimAt - (long) (1.5 * call.expected);  // later, half would be late
                 alarms.set(Math.max(now + 1, hopeless), at -> {
                     if (call.held) {
-                        ledger.answer(call, Reason.HELD);
+                        ledger.answer(call, FailureReason.HELD);
                     }
                 });
                 drain(now);
@@ -1041,7 +1047,7 @@
             if (outcome != Outcome.CANCELLED) {
                 judge(now, attempt, outcome == Outcome.OK && now <= call.aimAt, call.aim);
             }
-            Usual usual = health.usual[call.request.requestClass()];
+            Usual usual = health.usual[call.request.classIndex()];
             double scaled = (now - attempt.sentAt) * usual.mean / call.expected;
             if (outcome == Outcome.REJECTED || scaled > LATE * call.aim) {
                 if (attempt.sentAt >= server.lastCut) {
@@ -1072,7 +1078,7 @@
 
         /** A sidecar just started begins with twice its part, since most will find upstreams sound. */
         private double window() {
-            double least = LEAST * Math.max(1, (double) roster.ready.size() / settings.replicas());
+            double least = LEAST * Math.max(1, (double) roster.ready.size() / settings.sidecarCount());
             return Math.max(window, opening ? 2 * least : least);
         }
 
@@ -1103,8 +1109,8 @@
         }
 
         long stayAway(Call call) {
-            return settings.allowed().retryAfter()
-                    ? Math.min(settings.allowed().maxRetryAfter(), call.aim / 2) : 0;
+            return settings.capabilities().retryAfter()
+                    ? Math.min(settings.capabilities().maxRetryAfter(), call.aim / 2) : 0;
         }
     }
 
@@ -1123,13 +1129,14 @@
         private static final int MOST_NAMES = 4;
         /** So many above what is usual among all upstreams are no chance. */
         private static final double MANY = 3;
-        private final boolean allowed = settings.allowed().peers() && settings.replicas() > 1;
+        private final boolean allowed = settings.capabilities().peers() && settings.sidecarCount() > 1;
         /** Bytes that one attempt pays for: each message is charged once for every receiver. */
-        private final double earned = settings.charges().peer() == 0 ? LARGEST
-                : CHEAP * LARGEST / (settings.charges().peer() * Math.max(1, settings.replicas() - 1));
+        private final double earned = settings.costs().peerMessage() == 0 ? LARGEST
+                : CHEAP * LARGEST / (settings.costs().peerMessage()
+                        * Math.max(1, settings.sidecarCount() - 1));
         /** Four aims: long enough to see several sidecars' turns, short against a fault. */
-        private final double window = 4.0 * settings.classes().stream().mapToLong(RequestClass::aim).min()
-                .orElse(1);
+        private final double window = 4.0 * settings.classes().stream().mapToLong(RequestClass::latencyTarget)
+                .min().orElse(1);
         private final FadingSum all = none();
         private Map<Integer, Server> named = Map.of();
         private final ArrayDeque<Integer> untold = new ArrayDeque<>(MOST_NAMES);
@@ -1164,7 +1171,7 @@
                 ByteBuffer names = ByteBuffer.allocate(Integer.BYTES * untold.size());
                 untold.forEach(names::putInt);
                 untold.clear();
-                actions.tell(Actions.ALL_PEERS, names.array());
+                actions.sendToPeer(Actions.ALL_PEERS, names.array());
             }
         }
 
@@ -1205,8 +1212,8 @@
         /** Part of the aim that a look may take; a healthy upstream answers beside its queue at once. */
         private static final int PATIENCE = 20;
         private final int field = settings.reportFields().indexOf("rif");
-        private final boolean pays = field >= 0 && settings.allowed().probes()
-                && settings.charges().probe() * ASKED <= CHEAP;
+        private final boolean pays = field >= 0 && settings.capabilities().probes()
+                && settings.costs().probe() * ASKED <= CHEAP;
         /** Part of the aim that an upstream's work in hand may take up; the rest is for its spread. */
         private static final double FULL = 0.6;
         private double usual;
@@ -1214,7 +1221,7 @@
 
         /** With no more sidecars than upstreams, own counts show enough of what an upstream holds. */
         boolean looks() {
-            return pays && settings.replicas() > roster.ready.size();
+            return pays && settings.sidecarCount() > roster.ready.size();
         }
 
         /** Asks the entries next in turn; true if the request waits for what they tell. */
@@ -1257,7 +1264,7 @@
             if (least == Double.MAX_VALUE) {
                 call.looked = List.of();
             } else if (least > Math.max(usual, full)) {
-                ledger.answer(call, Reason.CROWDED);
+                ledger.answer(call, FailureReason.CROWDED);
                 return;
             }
             call.bar = least <= usual ? usual : full;
--- a/src/main/java/pondridge/adapter/Host.java
+++ b/src/main/java/pondridge/adapter/Host.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import pondridge.Balancer;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.Request;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
+import pondridge.Balancer.UpstreamState;
 import pondridge.Options;
 import pondridge.Rules;
 
@@ -21,8 +21,8 @@
     private static final int MAX_LISTS = 16;
     private static final int FIRST_ENTRIES = 1024;
     private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final ListKind[] KINDS = ListKind.values();
-    private static final State[] STATES = State.values();
+    private static final ListUpdateType[] KINDS = ListUpdateType.values();
+    private static final UpstreamState[] STATES = UpstreamState.values();
 
     private final Map<Integer, Balancer> instances = new HashMap<>();
     private final List<List<Upstream>> lists = new ArrayList<>();
@@ -51,14 +51,14 @@
             case 2 -> membership(now, in);
             case 3 -> submit(now, in);
             case 4 -> instance(in).firstByte(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
-            case 5 -> instance(in).outcome(now, in.u32(), in.u8(), in.upstream(),
+            case 5 -> instance(in).attemptEnded(now, in.u32(), in.u8(), in.upstream(),
                     in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.u8() != 0,
                     in.report());
-            case 6 -> instance(in).hangup(now, in.u32());
-            case 7 -> instance(in).timer(now, in.i64());
+            case 6 -> instance(in).clientDisconnected(now, in.u32());
+            case 7 -> instance(in).timerFired(now, in.i64());
             case 8 -> instance(in).probeResult(now, in.upstream(),
                     in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.report());
-            case 9 -> instance(in).peerMessage(now, in.u16(), in.bytes(in.u16()));
+            case 9 -> instance(in).peerMessageReceived(now, in.u16(), in.bytes(in.u16()));
             case 10 -> instances.remove(in.u16());
             case 11 -> defineList(in);
             default -> throw new WireException("unknown event code " + code + " at byte " + in.recordStart());
@@ -84,17 +84,17 @@
 
     private void membership(long now, Cursor in) {
         Balancer instance = instance(in);
-        ListKind kind = in.choice(KINDS, in.u8(), "form");
+        ListUpdateType kind = in.choice(KINDS, in.u8(), "form");
         in.i64();
         long number = in.u32();
-        if (kind == ListKind.FAILED) {
-            instance.listChanged(now, kind, List.of());
+        if (kind == ListUpdateType.FAILED) {
+            instance.listUpdated(now, kind, List.of());
             return;
         }
         if (number >= MAX_LISTS || lists.get((int) number) == null) {
             throw new WireException("unknown list number " + number + " at byte " + in.recordStart());
         }
-        instance.listChanged(now, kind, lists.get((int) number));
+        instance.listUpdated(now, kind, lists.get((int) number));
     }
 
     private void submit(long now, Cursor in) {
@@ -106,8 +106,9 @@
         long left = in.time("left");
         long hint = in.time("costGuess");
         int bits = in.u8();
-        instance.request(now, new Request(id, requestClass, tenant, key, left, 0, (bits & 1) != 0 ? hint : 0,
-                (bits & 2) != 0, (bits & 4) != 0));
+        instance.requestArrived(now,
+                new Request(id, requestClass, tenant, key, left, 0, (bits & 1) != 0 ? hint : 0,
+                        (bits & 2) != 0, (bits & 4) != 0));
     }
 
     private void defineList(Cursor in) {
--- a/src/main/java/pondridge/adapter/Replies.java
+++ b/src/main/java/pondridge/adapter/Replies.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import pondridge.Balancer.Actions;
-import pondridge.Balancer.Reason;
+import pondridge.Balancer.FailureReason;
 
 /** Collects the actions of one batch as a reply frame; written whole or not at all. */
 final class Replies {
@@ -74,13 +74,13 @@
         }
 
         @Override
-        public void refuse(long request, long wait, Reason reason) {
+        public void refuse(long request, long retryAfter, FailureReason reason) {
             begin(2, 14, sidecar);
-            buffer.putInt((int) request).putLong(wait);
+            buffer.putInt((int) request).putLong(retryAfter);
         }
 
         @Override
-        public void fail(long request, Reason reason) {
+        public void fail(long request, FailureReason reason) {
             begin(3, 6, sidecar);
             buffer.putInt((int) request);
         }
@@ -92,7 +92,7 @@
         }
 
         @Override
-        public void timer(long token, long at) {
+        public void setTimer(long token, long at) {
             begin(5, 18, sidecar);
             buffer.putLong(token).putLong(at);
         }
@@ -104,13 +104,13 @@
         }
 
         @Override
-        public void closeIdle(long upstream) {
+        public void closeIdleConnections(long upstream) {
             begin(7, 8, sidecar);
             upstream(upstream);
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendToPeer(int peer, byte[] message) {
             text(8, 4, message);
             buffer.putShort((short) peer).putShort((short) message.length).put(message);
         }
--- a/src/main/java/pondridge/sidecar/Discovery.java
+++ b/src/main/java/pondridge/sidecar/Discovery.java
@@ -30,8 +30,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.ListUpdateType;
+import pondridge.Balancer.UpstreamState;
 
 /**
  * Asks discovery for the list: a watch on its changes, or the whole once. Where changes are to come
@@ -47,20 +47,20 @@
     private static final long LONGEST_WAIT_MS = 800;
 
     /** One line of the list; names are still discovery's. */
-    record Target(String uid, InetSocketAddress endpoint, String zone, String kind, int cell, State state,
-            float weight, long startedMs) {
+    record Target(String uid, InetSocketAddress endpoint, String zone, String kind, int cell,
+            UpstreamState state, float weight, long startedMs) {
 
         /** An entry, or null where it can't be understood. */
         private static Target of(JsonNode node) {
             String uid = node.path("uid").asText("");
-            State state = switch (node.path("state").asText()) {
-                case "SERVING" -> State.READY;
-                case "DRAINING" -> State.DRAINING;
-                case "DELETED" -> State.GONE;
+            UpstreamState state = switch (node.path("state").asText()) {
+                case "SERVING" -> UpstreamState.READY;
+                case "DRAINING" -> UpstreamState.DRAINING;
+                case "DELETED" -> UpstreamState.GONE;
                 default -> null;
             };
             InetSocketAddress endpoint = Config.parseAddress(node.path("endpoint").asText(""));
-            if (uid.isEmpty() || state == null || endpoint == null && state != State.GONE) {
+            if (uid.isEmpty() || state == null || endpoint == null && state != UpstreamState.GONE) {
                 System.err.println("discovery: entry passed over: " + node);
                 return null;
             }
@@ -95,7 +95,7 @@
     private final EventLoop loop;
     private final Dialer dialer;
     private InetSocketAddress address;
-    private final BiConsumer<ListKind, List<Target>> listener;
+    private final BiConsumer<ListUpdateType, List<Target>> listener;
     private final Map<String, Target> lastGood = new HashMap<>();
     private long rev;
     private Call watch;
@@ -104,7 +104,7 @@
 
     /** Tells {@code listener}, on the loop, of each answer and each failure of what the module asked for. */
     Discovery(EventLoop loop, InetSocketAddress address, Listing known,
-            BiConsumer<ListKind, List<Target>> listener) {
+            BiConsumer<ListUpdateType, List<Target>> listener) {
         this.loop = loop;
         this.dialer = new Dialer(loop, CONNECT_TIMEOUT_MS);
         this.address = address;
@@ -130,7 +130,7 @@
             lastGood.clear();
         }
         for (Target target : targets) {
-            if (target.state() == State.GONE) {
+            if (target.state() == UpstreamState.GONE) {
                 lastGood.remove(target.uid());
             } else {
                 lastGood.put(target.uid(), target);
@@ -238,7 +238,7 @@
                 if (watching && following) {
                     followAgain();
                 } else {
-                    listener.accept(ListKind.FAILED, List.of());
+                    listener.accept(ListUpdateType.FAILED, List.of());
                 }
             }
         }
@@ -300,7 +300,7 @@
                 } else if (watching && !answered) {
                     // Nothing has changed since the version known: that, too, is the watch's answer.
                     answered();
-                    listener.accept(ListKind.DELTA, List.of());
+                    listener.accept(ListUpdateType.DELTA, List.of());
                 }
             }
         }
@@ -315,7 +315,7 @@
             Listing listing = Listing.of(node);
             rev = listing.rev();
             answered();
-            listener.accept(listing.all() ? ListKind.FULL : ListKind.DELTA, remember(listing));
+            listener.accept(listing.all() ? ListUpdateType.FULL : ListUpdateType.DELTA, remember(listing));
         }
 
         @Override
--- a/src/main/java/pondridge/sidecar/Engine.java
+++ b/src/main/java/pondridge/sidecar/Engine.java
@@ -21,14 +21,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import pondridge.Balancer;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.FailureReason;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
-import pondridge.Balancer.Reason;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.RequestClass;
 import pondridge.Balancer.Semantics;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
+import pondridge.Balancer.UpstreamState;
 import pondridge.Rules;
 
 /**
@@ -131,13 +131,13 @@
         this.guard = new LifecycleGuard(loop);
         this.classes = settings.classes();
         this.rules = new Rules(settings, config.seed(), this);
-        this.tryLimit = settings.allowed().tryLimit();
+        this.tryLimit = settings.capabilities().maxAttempts();
         this.mostOpen = mostOpen;
-        this.automatic = settings.discovery() == Balancer.Discovery.AUTOMATIC;
+        this.automatic = settings.discovery() == Balancer.DiscoveryMode.AUTOMATIC;
         this.upstreams = new Upstreams(loop, config.options(), config.sockets() / 2);
         this.discovery = new Discovery(loop, config.discovery(), config.known(), this::listed);
         this.peers = new Peers(config.peers(), (from, message) ->
-                tell(now -> rules.peerMessage(now, from, message)));
+                tell(now -> rules.peerMessageReceived(now, from, message)));
         config.options().list("zones").forEach(zone -> number(zones, zone));
         config.options().list("kinds").forEach(kind -> number(kinds, kind));
     }
@@ -146,7 +146,7 @@
     void start(Discovery.Listing known) {
         readClocks();
         tell(rules::start);
-        listed(ListKind.CACHED, known.targets());
+        listed(ListUpdateType.CACHED, known.targets());
         if (automatic) {
             discovery.follow();
         }
@@ -164,7 +164,7 @@
         long now = now();
         System.err.println("state: " + held() + " requests open, " + upstreams.open()
                 + " connections to upstreams, stalls up to " + stalls.recent(now) / 1_000_000 + " ms; guard: "
-                + guard + "; " + rules.state(now));
+                + guard + "; " + rules.describeState(now));
     }
 
     LifecycleGuard guard() {
@@ -218,12 +218,12 @@
         return hash;
     }
 
-    private void listed(ListKind kind, List<Discovery.Target> targets) {
+    private void listed(ListUpdateType kind, List<Discovery.Target> targets) {
         readClocks();
         tell(now -> {
             List<Upstream> entries = new ArrayList<>(targets.size());
             Set<Long> missing = new LinkedHashSet<>(
-                    kind == ListKind.FULL ? upstreamNames.keySet() : Set.<Long>of());
+                    kind == ListUpdateType.FULL ? upstreamNames.keySet() : Set.<Long>of());
             for (Discovery.Target target : targets) {
                 long id = id(target.uid());
                 missing.remove(id);
@@ -231,15 +231,15 @@
                 entries.add(new Upstream(id, number(zones, target.zone()), number(kinds, target.kind()),
                         target.cell(), target.state(), target.weight(),
                         startTimes.startedAt(id, target.startedMs(), now)));
-                if (target.state() == State.GONE) {
+                if (target.state() == UpstreamState.GONE) {
                     missing.add(id);
                 } else {
                     upstreams.listed(id, target.endpoint(), target.startedMs(),
-                            target.state() == State.READY);
+                            target.state() == UpstreamState.READY);
                 }
             }
             missing.forEach(upstreams::gone);
-            rules.listChanged(now, kind, entries);
+            rules.listUpdated(now, kind, entries);
             upstreamNames.keySet().removeAll(missing);
             startTimes.forget(missing);
         });
@@ -274,7 +274,7 @@
         tell(now -> {
             call.deadline = now + left - reserve;
             // The whole time tells a client's first try from a later one, so the waiting is not taken off it.
-            rules.request(now, new Request(id, job.requestClass(), job.tenant(), job.key(), whole,
+            rules.requestArrived(now, new Request(id, job.requestClass(), job.tenant(), job.key(), whole,
                     reserve + job.waited(), job.costHint(), job.clientRetry(),
                     !job.method().equals(HttpMethod.GET)));
         });
@@ -286,7 +286,7 @@
         Call call = calls.get(id);
         if (call != null && !call.over) {
             endBadly(id, call, "left by its client", "GONE", () -> { });
-            tell(now -> rules.hangup(now, id));
+            tell(now -> rules.clientDisconnected(now, id));
         }
     }
 
@@ -308,7 +308,7 @@
         } else {
             endBadly(id, call, "failed", reason, call.client::failed);
         }
-        tell(now -> rules.hangup(now, id));
+        tell(now -> rules.clientDisconnected(now, id));
     }
 
     private static boolean neverWritten(Upstreams.Attempt attempt) {
@@ -412,21 +412,21 @@
             if (outcome == Outcome.OK && !call.over) {
                 finish(id, call, () -> call.client.served(answer));
             }
-            rules.outcome(now, id, number, upstream, outcome, now - sentAt, call.over, load);
+            rules.attemptEnded(now, id, number, upstream, outcome, now - sentAt, call.over, load);
             forget(id, call);
         }));
     }
 
     @Override
-    public void refuse(long request, long wait, Reason reason) {
+    public void refuse(long request, long retryAfter, FailureReason reason) {
         Call call = calls.get(request);
         if (call != null) {
-            endBadly(request, call, "refused", reason.name(), () -> call.client.refused(wait));
+            endBadly(request, call, "refused", reason.name(), () -> call.client.refused(retryAfter));
         }
     }
 
     @Override
-    public void fail(long request, Reason reason) {
+    public void fail(long request, FailureReason reason) {
         Call call = calls.get(request);
         if (call != null) {
             endBadly(request, call, "failed", reason.name(), call.client::failed);
@@ -442,8 +442,8 @@
     }
 
     @Override
-    public void timer(long token, long at) {
-        loop.schedule(() -> tell(now -> rules.timer(now, token)), Math.max(0, at - now()),
+    public void setTimer(long token, long at) {
+        loop.schedule(() -> tell(now -> rules.timerFired(now, token)), Math.max(0, at - now()),
                 TimeUnit.NANOSECONDS);
     }
 
@@ -455,12 +455,12 @@
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         upstreams.closeIdle(upstream);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         peers.send(peer, message);
     }
 
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import pondridge.Balancer;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.FailureReason;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
-import pondridge.Balancer.Reason;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
+import pondridge.Balancer.UpstreamState;
 import pondridge.Options;
 import pondridge.Rules;
 
@@ -91,14 +91,15 @@
         Balancer rules = new Rules(settings, 0, new Unheard());
         long now = System.nanoTime() & Long.MAX_VALUE;
         rules.start(now);
-        rules.listChanged(now, ListKind.CACHED, List.of(
-                new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
+        rules.listUpdated(now, ListUpdateType.CACHED, List.of(
+                new Upstream(1, 0, 0, 0, UpstreamState.READY, 1, 0),
+                new Upstream(2, 0, 0, 0, UpstreamState.READY, 1, 0)));
         for (int i = 0; i < ROUNDS; i++) {
             now += STEP;
-            rules.request(now,
+            rules.requestArrived(now,
                     new Request(i, i % settings.classes().size(), 0, 0, PATIENCE, 0, 0, false, false));
-            rules.outcome(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
-            rules.timer(now + STEP / 2, i);
+            rules.attemptEnded(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
+            rules.timerFired(now + STEP / 2, i);
         }
     }
 
@@ -107,25 +108,25 @@
         public void send(long request, long upstream, long timeout) { }
 
         @Override
-        public void refuse(long request, long wait, Reason reason) { }
+        public void refuse(long request, long retryAfter, FailureReason reason) { }
 
         @Override
-        public void fail(long request, Reason reason) { }
+        public void fail(long request, FailureReason reason) { }
 
         @Override
         public void cancel(long request, int attempt) { }
 
         @Override
-        public void timer(long token, long at) { }
+        public void setTimer(long token, long at) { }
 
         @Override
         public void probe(long upstream) { }
 
         @Override
-        public void closeIdle(long upstream) { }
+        public void closeIdleConnections(long upstream) { }
 
         @Override
-        public void tell(int peer, byte[] message) { }
+        public void sendToPeer(int peer, byte[] message) { }
 
         @Override
         public void log(String line) { }
--- a/src/test/java/pondridge/EmbeddingExampleTest.java
+++ b/src/test/java/pondridge/EmbeddingExampleTest.java
@@ -5,11 +5,11 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.Request;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
+import pondridge.Balancer.UpstreamState;
 
 /** The README's embedding example, compiled and run. */
 class EmbeddingExampleTest {
@@ -21,19 +21,20 @@
         Balancer balancer = host.rules;
         long now = host.now;
 
-        balancer.listChanged(now, ListKind.CACHED, List.of(
-                new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
-        balancer.request(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, 0, false, false));
+        balancer.listUpdated(now, ListUpdateType.CACHED, List.of(
+                new Upstream(1, 0, 0, 0, UpstreamState.READY, 1, 0),
+                new Upstream(2, 0, 0, 0, UpstreamState.READY, 1, 0)));
+        balancer.requestArrived(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, 0, false, false));
         Recorder.Sent sent = host.last();
         assertEquals(100, sent.request());
 
         now += 20_000_000;
-        balancer.outcome(now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
+        balancer.attemptEnded(now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
         assertTrue(host.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
 
         // A restart: a new instance, a new seed, no memory.
         Recorder restarted = new Recorder(Recorder.settings(Recorder.REPEATABLE), 43);
-        restarted.rules.listChanged(now, ListKind.CACHED, List.of());
+        restarted.rules.listUpdated(now, ListUpdateType.CACHED, List.of());
         restarted.request(101, 0);
         assertEquals(List.of("refuse 101"), restarted.answers);
     }
--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -13,20 +13,20 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.KeyScope;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
 import pondridge.Balancer.Semantics;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
+import pondridge.Balancer.UpstreamState;
 
 /** Long random legal event sequences, judged by an observer with books of its own. */
 class RandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
     private static final List<RequestClass> CLASSES = List.of(Recorder.REPEATABLE, Recorder.ONCE,
-            Recorder.BY_CELL, Recorder.BY_ANY, Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
+            Recorder.BY_CELL, Recorder.BY_ANY, Recorder.requestClass(Semantics.BY_KEY, KeyScope.ZONE));
 
     private static final class Book {
         final RequestClass kind;
@@ -47,7 +47,7 @@
     }
 
     private final Map<Long, Book> books = new HashMap<>();
-    private final Map<Long, State> states = new HashMap<>();
+    private final Map<Long, UpstreamState> states = new HashMap<>();
     private final Set<Integer> judgedSends = new HashSet<>();
     private final List<Long> asked = new ArrayList<>();
     private int probes;
@@ -78,7 +78,7 @@
     private void judgeSend(Recorder.Sent sent) {
         Book book = books.get(sent.request());
         assertEquals(0, book.answers, "sent after its end: " + sent);
-        assertEquals(State.READY, states.get(sent.upstream()), "drain: " + sent);
+        assertEquals(UpstreamState.READY, states.get(sent.upstream()), "drain: " + sent);
         assertTrue(book.sent.size() < 3, "try limit: " + sent);
         Recorder.Sent doubt = null;
         for (Recorder.Sent earlier : book.sent) {
@@ -108,7 +108,7 @@
         assertTrue(host.now <= book.deadline + SLACK, "late answer: " + id);
         boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.attempt()));
         boolean harmless = !doubt || book.kind.semantics() == Semantics.REPEATABLE
-                || book.kind.semantics() == Semantics.BY_KEY && book.kind.scope() == Scope.ALL;
+                || book.kind.semantics() == Semantics.BY_KEY && book.kind.scope() == KeyScope.ALL;
         assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
     }
 
@@ -146,9 +146,9 @@
         List<Upstream> first = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
             first.add(Recorder.upstream(i));
-            states.put((long) i, State.READY);
+            states.put((long) i, UpstreamState.READY);
         }
-        host.rules.listChanged(host.now, ListKind.CACHED, first);
+        host.rules.listUpdated(host.now, ListUpdateType.CACHED, first);
         List<Recorder.Sent> out = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
@@ -167,7 +167,7 @@
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
                 if (books.get(id).answers == 0) {
                     books.get(id).answers++;
-                    host.rules.hangup(host.now, id);
+                    host.rules.clientDisconnected(host.now, id);
                 }
             } else {
                 tick(random.nextInt(8));
@@ -211,17 +211,19 @@
         if (outcome == Outcome.OK && !already) {
             book.answers++;
         }
-        host.rules.outcome(host.now, sent.request(), sent.attempt(), sent.upstream(), outcome,
+        host.rules.attemptEnded(host.now, sent.request(), sent.attempt(), sent.upstream(), outcome,
                 host.now - sent.at(), already || outcome == Outcome.OK, new float[0]);
         judge();
     }
 
     private void change(Random random, int upstreams) {
         long id = random.nextInt(upstreams);
-        State state = State.values()[random.nextInt(3)];
-        long startedAt = state == State.READY && states.get(id) == State.GONE ? host.now - 100 * MS : 0;
+        UpstreamState state = UpstreamState.values()[random.nextInt(3)];
+        long startedAt = state == UpstreamState.READY && states.get(id) == UpstreamState.GONE
+                ? host.now - 100 * MS : 0;
         states.put(id, state);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                List.of(Recorder.upstream(id, state, startedAt)));
         judge();
     }
 }
--- a/src/test/java/pondridge/Recorder.java
+++ b/src/test/java/pondridge/Recorder.java
@@ -4,29 +4,29 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import pondridge.Balancer.Actions;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Discovery;
+import pondridge.Balancer.Capabilities;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.FailureReason;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
-import pondridge.Balancer.Reason;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
 import pondridge.Balancer.Semantics;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Tenant;
 import pondridge.Balancer.Upstream;
-import pondridge.Balancer.Weights;
+import pondridge.Balancer.UpstreamState;
+import pondridge.Balancer.WeightMode;
 
 /** A host for tests: it keeps the clock, rings timers and writes down what the module orders. */
 final class Recorder implements Actions {
     static final long MS = 1_000_000;
-    static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, Scope.ALL);
-    static final RequestClass ONCE = requestClass(Semantics.ONCE, Scope.ALL);
-    static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
-    static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, Scope.ALL);
+    static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, KeyScope.ALL);
+    static final RequestClass ONCE = requestClass(Semantics.ONCE, KeyScope.ALL);
+    static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, KeyScope.CELL);
+    static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, KeyScope.ALL);
 
     record Sent(long request, int attempt, long upstream, long at) { }
 
@@ -46,49 +46,49 @@
         rules.start(now);
     }
 
-    static RequestClass requestClass(Semantics semantics, Scope scope) {
+    static RequestClass requestClass(Semantics semantics, KeyScope scope) {
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
     }
 
     static Settings settings(RequestClass... classes) {
-        return settings(Discovery.AUTOMATIC, classes);
+        return settings(DiscoveryMode.AUTOMATIC, classes);
     }
 
-    static Settings settings(Discovery discovery, RequestClass... classes) {
-        return new Settings(0, 3, 0, 5 * MS, discovery, Weights.SILENT, List.of(classes),
-                List.<Tenant>of(), new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
+    static Settings settings(DiscoveryMode discovery, RequestClass... classes) {
+        return new Settings(0, 3, 0, 5 * MS, discovery, WeightMode.SILENT, List.of(classes),
+                List.<Tenant>of(), new Capabilities(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
                 new Limits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
-                List.of(), Balancer.Charges.NONE, false, 1);
+                List.of(), Balancer.Costs.NONE, false, 1);
     }
 
     /** One sidecar has all upstreams to itself. */
     static Settings loneSettings(RequestClass... classes) {
         Settings base = settings(classes);
-        return new Settings(0, 1, 0, 5 * MS, Discovery.AUTOMATIC, Weights.SILENT, base.classes(), List.of(),
-                base.allowed(), base.limits(), List.of(), Balancer.Charges.NONE, false, 1);
+        return new Settings(0, 1, 0, 5 * MS, DiscoveryMode.AUTOMATIC, WeightMode.SILENT, base.classes(),
+                List.of(), base.capabilities(), base.limits(), List.of(), Balancer.Costs.NONE, false, 1);
     }
 
     /** Where sidecars may send each other messages, at a price. */
     static Settings peerSettings(RequestClass... classes) {
         Settings base = settings(classes);
-        return new Settings(0, 100, 0, 5 * MS, Discovery.AUTOMATIC, Weights.SILENT, base.classes(), List.of(),
-                new Allowed(true, false, true, true, true, 3, 1_000 * MS, 250 * MS), base.limits(),
-                List.of(), new Balancer.Charges(0, 0.04), false, 1);
+        return new Settings(0, 100, 0, 5 * MS, DiscoveryMode.AUTOMATIC, WeightMode.SILENT, base.classes(),
+                List.of(), new Capabilities(true, false, true, true, true, 3, 1_000 * MS, 250 * MS),
+                base.limits(), List.of(), new Balancer.Costs(0, 0.04), false, 1);
     }
 
     /** Where probes are all but free, reports tell what is held, and attempts may not overlap. */
     static Settings lookingSettings(int replicas, RequestClass... classes) {
         Settings base = settings(classes);
-        return new Settings(0, replicas, 0, MS, Discovery.AUTOMATIC, Weights.SILENT, base.classes(),
-                List.of(), new Allowed(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
-                base.limits(), List.of("q", "rif"), new Balancer.Charges(0.002, 0), false, 1);
+        return new Settings(0, replicas, 0, MS, DiscoveryMode.AUTOMATIC, WeightMode.SILENT, base.classes(),
+                List.of(), new Capabilities(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
+                base.limits(), List.of("q", "rif"), new Balancer.Costs(0.002, 0), false, 1);
     }
 
     static Upstream upstream(long id) {
-        return upstream(id, State.READY, 0);
+        return upstream(id, UpstreamState.READY, 0);
     }
 
-    static Upstream upstream(long id, State state, long startedAt) {
+    static Upstream upstream(long id, UpstreamState state, long startedAt) {
         return new Upstream(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
@@ -98,7 +98,7 @@
         for (int i = 0; i < count; i++) {
             list.add(upstream(i));
         }
-        rules.listChanged(now, ListKind.CACHED, list);
+        rules.listUpdated(now, ListUpdateType.CACHED, list);
         return this;
     }
 
@@ -107,11 +107,11 @@
     }
 
     void request(long id, int requestClass, long left) {
-        rules.request(now, new Request(id, requestClass, 0, 0, left, 0, 0, false, false));
+        rules.requestArrived(now, new Request(id, requestClass, 0, 0, left, 0, 0, false, false));
     }
 
     void outcome(Sent sent, Outcome outcome) {
-        rules.outcome(now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at,
+        rules.attemptEnded(now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at,
                 outcome == Outcome.OK, new float[0]);
     }
 
@@ -121,7 +121,7 @@
         while (!timers.isEmpty() && timers.peek().at <= end) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
-            rules.timer(now, timer.token);
+            rules.timerFired(now, timer.token);
         }
         now = end;
     }
@@ -178,13 +178,13 @@
     }
 
     @Override
-    public void refuse(long request, long wait, Reason reason) {
-        log.add("refuse " + request + " " + wait);
+    public void refuse(long request, long retryAfter, FailureReason reason) {
+        log.add("refuse " + request + " " + retryAfter);
         answers.add("refuse " + request);
     }
 
     @Override
-    public void fail(long request, Reason reason) {
+    public void fail(long request, FailureReason reason) {
         log.add("fail " + request);
         answers.add("fail " + request);
     }
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void timer(long token, long at) {
+    public void setTimer(long token, long at) {
         log.add("timer " + token + " " + at);
         timers.add(new Timer(at, token));
     }
@@ -206,12 +206,12 @@
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         log.add("close " + upstream);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         log.add("tell " + peer);
         told.add(message);
     }
--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -23,10 +23,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 
 class RulesTest {
 
@@ -87,9 +87,9 @@
     void redrawnOnlyWhenTheReadySetChanges() {
         Recorder host = host(REPEATABLE).withUpstreams(8);
         List<Long> before = turn(host, 8, 0);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(3)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA, List.of(upstream(3)));
         assertEquals(before, turn(host, 8, 20));
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(3, State.GONE, 0)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA, List.of(upstream(3, UpstreamState.GONE, 0)));
         List<Long> after = turn(host, 7, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
@@ -122,9 +122,9 @@
     /** Turns of a slow and a fast upstream of two kinds, by what each takes. */
     private static List<Long> turnsOfTwoKinds(long fast, long slow) {
         Recorder host = host(REPEATABLE);
-        host.rules.listChanged(host.now, ListKind.CACHED, List.of(
-                new Balancer.Upstream(0, 0, 0, 0, State.READY, 1, 0),
-                new Balancer.Upstream(1, 0, 1, 0, State.READY, 1, 0)));
+        host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(
+                new Balancer.Upstream(0, 0, 0, 0, UpstreamState.READY, 1, 0),
+                new Balancer.Upstream(1, 0, 1, 0, UpstreamState.READY, 1, 0)));
         for (int i = 0; i < 200; i++) {
             host.request(i, 0);
             host.advance(host.last().upstream() == 0 ? fast : slow);
@@ -148,7 +148,7 @@
         host.request(1, 0);
         Recorder.Timer timer = host.timers.poll();
         host.now = timer.at() - 30;
-        host.rules.timer(host.now, timer.token());
+        host.rules.timerFired(host.now, timer.token());
         host.advance(2_000 * MS);
         assertEquals(List.of("fail 1"), host.answers);
     }
@@ -173,7 +173,8 @@
     @Test
     void answerIsGivenBeforeTheTimeThatTheHostNeeds() {
         Recorder host = host(ONCE).withUpstreams(1);
-        host.rules.request(host.now, new Balancer.Request(1, 0, 0, 0, 1_000 * MS, 100 * MS, 0, false, false));
+        host.rules.requestArrived(host.now,
+                new Balancer.Request(1, 0, 0, 0, 1_000 * MS, 100 * MS, 0, false, false));
         host.advance(899 * MS);
         assertTrue(host.answers.isEmpty());
         host.advance(MS);
@@ -248,31 +249,32 @@
     @Test
     void drainingAndMissingUpstreamsGetNothingNew() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(2, State.DRAINING, 0)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                List.of(upstream(2, UpstreamState.DRAINING, 0)));
         assertFalse(turn(host, 12, 0).contains(2L));
-        host.rules.listChanged(host.now, ListKind.FULL, List.of(upstream(0), upstream(1)));
+        host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of(upstream(0), upstream(1)));
         assertEquals(Set.of(0L, 1L), new HashSet<>(turn(host, 12, 20)));
     }
 
     @Test
     void failedSubscriptionKeepsTheListAndBacksOff() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        Recorder host = new Recorder(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
         assertEquals(1, host.subscriptions);
         for (int i = 0; i < 8; i++) {
-            host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+            host.rules.listUpdated(host.now, ListUpdateType.FAILED, List.of());
             host.advance(5_000 * MS);
             assertEquals(i + 2, host.subscriptions);
         }
         host.request(1, 0);
         assertEquals(1, host.sends.size());
-        host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+        host.rules.listUpdated(host.now, ListUpdateType.FAILED, List.of());
         host.advance(2_000 * MS);
         assertEquals(9, host.subscriptions, "after eight failures it waits");
     }
 
     @Test
     void unansweredSubscriptionIsRepeated() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        Recorder host = new Recorder(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
         host.advance(6_000 * MS);
         assertEquals(2, host.subscriptions);
     }
@@ -283,7 +285,8 @@
     void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 2_000, 0, 5 * MS);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                List.of(upstream(9, UpstreamState.READY, host.now)));
         int before = host.sends.size();
         host.serve(5_000, 5_300, 0, 5 * MS);
         long cold = host.sentTo(9, before);
@@ -295,7 +298,8 @@
     void aSidecarJustStartedGivesColdUpstreamsTheirShareToo() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 200, 0, 10 * MS);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                List.of(upstream(9, UpstreamState.READY, host.now)));
         int before = host.sends.size();
         host.serve(1_000, 1_200, 0, 10 * MS);
         // 2 s at 100 a second over 4 warm servers: 50 each; the cold share of 0.3 grows to 0.5 meanwhile.
@@ -310,7 +314,8 @@
         for (int seed = 0; seed < 50; seed++) {
             Recorder one = new Recorder(settings(ONCE), seed).withUpstreams(60);
             one.serve(0, 100, 0, 100 * MS);
-            one.rules.listChanged(one.now, ListKind.DELTA, List.of(upstream(99, State.READY, one.now)));
+            one.rules.listUpdated(one.now, ListUpdateType.DELTA,
+                    List.of(upstream(99, UpstreamState.READY, one.now)));
             int since = one.sends.size();
             one.serve(1_000, 1_060, 0, 100 * MS);
             cold += (int) one.sentTo(99, since);
@@ -332,7 +337,8 @@
     private static long coldTurns(long cold, long warm) {
         Recorder host = host(ONCE).withUpstreams(4);
         host.serve(0, 400, 0, 60 * MS);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                List.of(upstream(9, UpstreamState.READY, host.now)));
         int before = host.sends.size();
         long end = host.now + 6_000 * MS;
         for (int id = 1_000; host.now < end; id++) {
@@ -353,7 +359,8 @@
         for (int seed = 0; seed < 100; seed++) {
             Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(4);
             host.serve(0, 20, 0, 500 * MS);
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+            host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                    List.of(upstream(9, UpstreamState.READY, host.now)));
             int before = host.sends.size();
             host.serve(100, 105, 0, 300 * MS);
             cold += (int) host.sentTo(9, before);
@@ -367,7 +374,8 @@
     void aSidecarThatKnowsNothingYetLeavesColdUpstreamsAlone() {
         for (int seed = 0; seed < 20; seed++) {
             Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(2);
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+            host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                    List.of(upstream(9, UpstreamState.READY, host.now)));
             host.burst(0, 3, 0);
             assertEquals(0, host.sentTo(9, 0));
         }
@@ -514,10 +522,12 @@
         Recorder host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
         Recorder.Sent sent = host.last();
-        host.rules.listChanged(host.now, ListKind.FULL, List.of());
-        assertTrue(host.rules.state(host.now).startsWith("0 ready of 1 known"), host.rules.state(host.now));
+        host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of());
+        assertTrue(host.rules.describeState(host.now).startsWith("0 ready of 1 known"),
+                host.rules.describeState(host.now));
         host.outcome(sent, Outcome.OK);
-        assertTrue(host.rules.state(host.now).startsWith("0 ready of 0 known"), host.rules.state(host.now));
+        assertTrue(host.rules.describeState(host.now).startsWith("0 ready of 0 known"),
+                host.rules.describeState(host.now));
     }
 
     @Test
@@ -557,10 +567,10 @@
     /** Has a sidecar that sends to upstream 3 alone find it silent; what it tells of that. */
     private static List<byte[]> warnings(int attempts) {
         Recorder host = new Recorder(Recorder.peerSettings(ONCE), 7);
-        host.rules.listChanged(host.now, ListKind.CACHED, List.of(upstream(1), upstream(2)));
+        host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(upstream(1), upstream(2)));
         host.serve(0, 400, 0, 20 * MS);
         assertTrue(host.told.isEmpty(), "nothing to tell while all answer");
-        host.rules.listChanged(host.now, ListKind.FULL, List.of(upstream(3)));
+        host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of(upstream(3)));
         for (int i = 0; i < attempts; i++) {
             host.request(1_000 + i, 0);
             host.advance(2_000 * MS);
@@ -575,7 +585,7 @@
         Recorder host = peer(7);
         host.serve(0, 40, 0, 20 * MS);
         for (int from = 1; from <= 9; from++) {
-            host.rules.peerMessage(host.now, from, told.get(0));
+            host.rules.peerMessageReceived(host.now, from, told.get(0));
         }
         int before = host.sends.size();
         host.serve(100, 140, 0, 5 * MS);
@@ -592,7 +602,7 @@
         host.serve(0, 40, 0, 20 * MS);
         for (int id = 0; id < 20; id++) {
             for (int from = 1; from <= 9; from++) {
-                host.rules.peerMessage(host.now, from, new byte[] {0, 0, 0, (byte) id});
+                host.rules.peerMessageReceived(host.now, from, new byte[] {0, 0, 0, (byte) id});
             }
         }
         int before = host.sends.size();
@@ -606,7 +616,7 @@
     void messagesThatMakeNoSenseArePassedOver() {
         Recorder host = peer(7);
         for (byte[] odd : new byte[][] {{}, {1}, {0, 0, 0, 99}, {0, 0, 0, 3, 7}, new byte[256]}) {
-            host.rules.peerMessage(host.now, 50_000, odd);
+            host.rules.peerMessageReceived(host.now, 50_000, odd);
         }
         host.serve(0, 20, 0, 5 * MS);
         assertEquals(20, host.sends.size());
@@ -735,7 +745,7 @@
             }
             host.advance(500 * MS);
             int before = host.sends.size();
-            host.rules.request(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, 0,
+            host.rules.requestArrived(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, 0,
                     seed % 2 == 1, false));
             sent[seed % 2] += host.sends.size() - before;
         }
@@ -794,17 +804,20 @@
     @Test
     void tenantThatHadLeastOfItsQuotaGoesFirst() {
         Balancer.Settings base = settings(ONCE);
-        Recorder host = new Recorder(new Balancer.Settings(0, 1, 0, 5 * MS, Discovery.AUTOMATIC,
-                Balancer.Weights.SILENT, base.classes(), List.of(new Balancer.Tenant(0.5, 10),
-                new Balancer.Tenant(0.5, 10)), base.allowed(), base.limits(), List.of(),
-                Balancer.Charges.NONE,
+        Recorder host = new Recorder(new Balancer.Settings(0, 1, 0, 5 * MS, DiscoveryMode.AUTOMATIC,
+                Balancer.WeightMode.SILENT, base.classes(), List.of(new Balancer.Tenant(0.5, 10),
+                new Balancer.Tenant(0.5, 10)), base.capabilities(), base.limits(), List.of(),
+                Balancer.Costs.NONE,
                 false, 0.1), 7)
                 .withUpstreams(1);
         for (int i = 0; i < 4; i++) {
-            host.rules.request(host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, 0, false, false));
+            host.rules.requestArrived(host.now,
+                    new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, 0, false, false));
         }
-        host.rules.request(host.now, new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, 0, false, false));
-        host.rules.request(host.now, new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, 0, false, false));
+        host.rules.requestArrived(host.now,
+                new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, 0, false, false));
+        host.rules.requestArrived(host.now,
+                new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, 0, false, false));
         int out = host.sends.size();
         host.advance(10 * MS);
         host.outcome(host.sends.get(0), Outcome.OK);
@@ -839,11 +852,11 @@
     void eventsAboutNothingHeldArePassedOver() {
         Recorder host = host(REPEATABLE).withUpstreams(2);
         int before = host.log.size();
-        host.rules.hangup(host.now, 99);
-        host.rules.outcome(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
+        host.rules.clientDisconnected(host.now, 99);
+        host.rules.attemptEnded(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
         host.rules.firstByte(host.now, 99, 0, 1, 0);
-        host.rules.timer(host.now, 12345);
-        host.rules.peerMessage(host.now, 1, new byte[] {1});
+        host.rules.timerFired(host.now, 12345);
+        host.rules.peerMessageReceived(host.now, 1, new byte[] {1});
         assertEquals(before, host.log.size());
     }
 
--- a/src/test/java/pondridge/SettingsUnlikeTest.java
+++ b/src/test/java/pondridge/SettingsUnlikeTest.java
@@ -6,27 +6,27 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Discovery;
+import pondridge.Balancer.Capabilities;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
 import pondridge.Balancer.Semantics;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
-import pondridge.Balancer.Weights;
+import pondridge.Balancer.UpstreamState;
+import pondridge.Balancer.WeightMode;
 
 /** Settings far from the three deployments: bare hosts, lone servers, large and vanishing lists. */
 class SettingsUnlikeTest {
 
     /** A host that allows nothing but sending, with the given try limit. */
     private static Recorder bare(int tryLimit, RequestClass... classes) {
-        Allowed allowed = new Allowed(false, false, false, false, false, tryLimit, 0, 0);
+        Capabilities allowed = new Capabilities(false, false, false, false, false, tryLimit, 0, 0);
         Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
-        return new Recorder(new Settings(0, 1, 0, 0, Discovery.AUTOMATIC, Weights.SILENT, List.of(classes),
-                List.of(), allowed, limits, List.of(), Balancer.Charges.NONE, true, 0), 5);
+        return new Recorder(new Settings(0, 1, 0, 0, DiscoveryMode.AUTOMATIC, WeightMode.SILENT,
+                List.of(classes), List.of(), allowed, limits, List.of(), Balancer.Costs.NONE, true, 0), 5);
     }
 
     @Test
@@ -64,7 +64,7 @@
         for (int i = 0; i < 40; i++) {
             host.request(i, i % 2);
         }
-        host.rules.hangup(host.now, host.last().request());
+        host.rules.clientDisconnected(host.now, host.last().request());
         host.advance(3_000 * MS);
         assertTrue(host.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")), "unasked");
         assertTrue(host.log.stream().anyMatch(l -> l.startsWith("refuse")));
@@ -75,7 +75,7 @@
     void aListThatEmptiesAndRefillsStartsAfresh() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(4);
         host.serve(0, 20, 0, 10 * MS);
-        host.rules.listChanged(host.now, ListKind.FULL, List.of());
+        host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of());
         host.request(100, 0);
         assertEquals(List.of("refuse 100"), host.answers, "nothing ready");
         host.withUpstreams(4);
@@ -93,9 +93,9 @@
             one.advance(MS);
             other.advance(MS);
             Recorder.Sent sent = one.last();
-            one.rules.outcome(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
+            one.rules.attemptEnded(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
             float[] report = {9, -1, 7e9f};
-            other.rules.outcome(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
+            other.rules.attemptEnded(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
         }
         assertEquals(one.log, other.log);
     }
@@ -103,7 +103,7 @@
     @Test
     void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
         RequestClass stream =
-                new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
+                new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, KeyScope.ALL, 0, true);
         Recorder host = new Recorder(Recorder.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
         Recorder.Sent sent = host.last();
@@ -129,8 +129,9 @@
     @Test
     void drainingEverywhereStopsAllNewWork() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(2);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(
-                Recorder.upstream(0, State.DRAINING, 0), Recorder.upstream(1, State.DRAINING, 0)));
+        host.rules.listUpdated(host.now, ListUpdateType.DELTA, List.of(
+                Recorder.upstream(0, UpstreamState.DRAINING, 0),
+                Recorder.upstream(1, UpstreamState.DRAINING, 0)));
         host.request(1, 0);
         assertEquals(0, host.sends.size());
         assertEquals(List.of("refuse 1"), host.answers);
--- a/src/test/java/pondridge/adapter/WireTest.java
+++ b/src/test/java/pondridge/adapter/WireTest.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Actions;
-import pondridge.Balancer.Reason;
+import pondridge.Balancer.FailureReason;
 import pondridge.Balancer.Semantics;
 import pondridge.Balancer.Settings;
 import pondridge.Options;
@@ -157,7 +157,7 @@
     void settingsAreReadAndMissingOnesNamed() {
         Settings settings = new Options(OPTIONS).settings();
         assertEquals(Semantics.ONCE, settings.classes().get(0).semantics());
-        assertEquals(2.5, settings.classes().get(0).worth());
+        assertEquals(2.5, settings.classes().get(0).value());
         assertEquals(2, settings.reportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
         fails("setting missing: rules.rampTime",
@@ -171,12 +171,12 @@
     void everyActionHasItsLayout() throws IOException {
         Replies replies = new Replies();
         Actions sink = replies.sink(2);
-        sink.refuse(1, 5, Reason.SHED);
-        sink.fail(1, Reason.DEADLINE);
+        sink.refuse(1, 5, FailureReason.SHED);
+        sink.fail(1, FailureReason.DEADLINE);
         sink.cancel(1, 3);
         sink.probe(0x0000_0001_0050L);
-        sink.closeIdle(1);
-        sink.tell(Actions.ALL_PEERS, new byte[] {9});
+        sink.closeIdleConnections(1);
+        sink.sendToPeer(Actions.ALL_PEERS, new byte[] {9});
         sink.log("hi");
         sink.fetchList();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/ConfigTest.java
@@ -20,7 +20,7 @@
         Settings settings = config.options().settings();
         assertEquals(List.of("rate", "q"), settings.reportFields());
         assertEquals(Semantics.ONCE, settings.classes().get(2).semantics());
-        assertEquals(750_000_000, settings.allowed().maxRetryAfter());
+        assertEquals(750_000_000, settings.capabilities().maxRetryAfter());
         assertEquals(List.of("look", "hold", "book"), config.options().names("profiles"));
         assertEquals(List.of("acme"), config.options().names("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
--- a/src/test/java/pondridge/sidecar/DiscoveryTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.ListUpdateType;
+import pondridge.Balancer.UpstreamState;
 
 /** The list and its watch against a discovery that answers in awkward ways. */
 class DiscoveryTest {
@@ -22,7 +22,7 @@
     private static final String HALF_1 = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
     private static final String HALF_2 = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
-    private record Told(ListKind kind, List<Discovery.Target> targets) { }
+    private record Told(ListUpdateType kind, List<Discovery.Target> targets) { }
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -59,13 +59,14 @@
             Discovery discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
             assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told), "an empty line: no news");
+            assertEquals(new Told(ListUpdateType.DELTA, List.of()), Stub.next(told),
+                    "an empty line: no news");
             Told delta = Stub.next(told);
-            assertEquals(ListKind.DELTA, delta.kind);
-            assertEquals(List.of(State.DRAINING),
+            assertEquals(ListUpdateType.DELTA, delta.kind);
+            assertEquals(List.of(UpstreamState.DRAINING),
                     delta.targets.stream().map(Discovery.Target::state).toList());
-            assertEquals(new Told(ListKind.FULL, List.of()), Stub.next(told));
-            assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told));
+            assertEquals(new Told(ListUpdateType.FULL, List.of()), Stub.next(told));
+            assertEquals(new Told(ListUpdateType.FAILED, List.of()), Stub.next(told));
             loop.execute(() -> discovery.watch(true));
             assertTrue(Stub.next(stub.heads).contains("from=44 "), "goes on from the last version");
         }
@@ -83,9 +84,9 @@
             })) {
                 Discovery discovery = discovery(stub);
                 loop.execute(() -> discovery.watch(true));
-                assertEquals(ListKind.FAILED, Stub.next(told).kind, reply);
+                assertEquals(ListUpdateType.FAILED, Stub.next(told).kind, reply);
                 loop.execute(discovery::fetch);
-                assertEquals(ListKind.FAILED, Stub.next(told).kind, reply);
+                assertEquals(ListUpdateType.FAILED, Stub.next(told).kind, reply);
                 loop.submit(() -> { }).sync();
                 assertEquals(0, told.size(), reply);
             }
@@ -108,9 +109,9 @@
             assertEquals(2, Stub.next(told).targets.size());
             for (int i = 0; i < 2; i++) {
                 Told list = Stub.next(told);
-                assertEquals(ListKind.FULL, list.kind);
+                assertEquals(ListUpdateType.FULL, list.kind);
                 assertEquals(List.of("s-1"), list.targets.stream().map(Discovery.Target::uid).toList());
-                assertEquals(State.READY, list.targets.get(0).state());
+                assertEquals(UpstreamState.READY, list.targets.get(0).state());
             }
         }
     }
@@ -144,7 +145,7 @@
             loop.execute(discovery::fetch);
             assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
             Told list = Stub.next(told);
-            assertEquals(ListKind.FULL, list.kind);
+            assertEquals(ListUpdateType.FULL, list.kind);
             assertEquals(9, list.targets.get(0).endpoint().getPort());
             Stub.next(stub.ended);
             assertEquals(0, told.size());
