--- a/src/main/java/pondridge/FadingSum.java
+++ b/src/main/java/pondridge/DecayingSum.java
@@ -1,13 +1,13 @@
 package pondridge;
 
 /** A sum that forgets: what was added a window ago counts by 1/e. */
-final class FadingSum {
+final class DecayingSum {
     private final double window;
     private double value;
     private long at;
 
     /** Starts at {@code first}, which counts in full until something is added. */
-    FadingSum(double window, double first) {
+    DecayingSum(double window, double first) {
         this.window = window;
         this.value = first;
     }
--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -33,7 +33,7 @@
     private final Admission admission;
     private final Reports reports;
     private final Warnings warnings;
-    private final Alarms alarms;
+    private final TimerQueue timerQueue;
     private Tally warmTally = new Tally();
     private Tally coldTally = new Tally();
 
@@ -42,7 +42,7 @@
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
-        this.alarms = new Alarms(actions);
+        this.timerQueue = new TimerQueue(actions);
         this.warnings = new Warnings();
         this.health = new Health();
         this.roster = new Roster();
@@ -54,14 +54,14 @@
     public void start(long now) {
         roster.began = now;
         roster.follow(now);
-        alarms.flush();
+        timerQueue.flush();
     }
 
     @Override
     public void listUpdated(long now, ListUpdateType kind, List<Upstream> entries) {
         roster.listChanged(now, kind, entries);
         admission.drain(now);
-        alarms.flush();
+        timerQueue.flush();
     }
 
     @Override
@@ -71,7 +71,7 @@
         }
         Call call = ledger.open(now, request);
         admission.admit(now, call);
-        alarms.flush();
+        timerQueue.flush();
     }
 
     @Override
@@ -87,7 +87,7 @@
             long elapsed, boolean requestFinished, float[] load) {
         ledger.outcome(now, request, attempt, outcome, requestFinished);
         admission.drain(now);
-        alarms.flush();
+        timerQueue.flush();
     }
 
     @Override
@@ -96,7 +96,7 @@
         if (server != null) {
             reports.told(now, server, outcome, load);
         }
-        alarms.flush();
+        timerQueue.flush();
     }
 
     @Override
@@ -116,9 +116,9 @@
 
     @Override
     public void timerFired(long now, long token) {
-        alarms.ring(now, token);
+        timerQueue.ring(now, token);
         admission.drain(now);
-        alarms.flush();
+        timerQueue.flush();
     }
 
     @Override
@@ -260,10 +260,10 @@
         long lastCut;
         double holds = Double.MAX_VALUE;
         boolean suspect;
-        final FadingSum warned;
+        final DecayingSum warned;
         final List<Call> askers = new ArrayList<>(2);
 
-        Server(Upstream entry, long now, FadingSum warned) {
+        Server(Upstream entry, long now, DecayingSum warned) {
             this.entry = entry;
             this.warned = warned;
             this.integratedAt = now;
@@ -331,7 +331,7 @@
             call.expected = Math.max(call.aim / 1000.0,
                     health.usual[request.classIndex()].expected(request.costHint()));
             calls.put(request.id(), call);
-            alarms.set(call.deadline, at -> {
+            timerQueue.set(call.deadline, at -> {
                 if (!call.streaming) {
                     answer(call, FailureReason.DEADLINE);
                 }
@@ -399,7 +399,8 @@
             boolean worthless = reports.looks() && call.kind.lateValueShare() == 0 && call.aimAt > now;
             actions.send(call.request.id(), server.entry.id(), worthless ? call.aimAt - now : 0);
             admission.unjudged++;
-            alarms.set(Math.max(now, call.aimAt) + 1, at -> admission.judge(at, attempt, false, call.aim));
+            timerQueue.set(Math.max(now, call.aimAt) + 1,
+                    at -> admission.judge(at, attempt, false, call.aim));
         }
 
         void outcome(long now, long id, int number, Outcome outcome, boolean ended) {
@@ -473,7 +474,7 @@
         private final Took warmTook = new Took();
         private long nextWarm = Long.MAX_VALUE;
         private boolean listed;
-        private final FadingSum served = new FadingSum(settings.limits().rampTime(), 0);
+        private final DecayingSum served = new DecayingSum(settings.limits().rampTime(), 0);
         private long retryWait;
         private long asked;
         private long began;
@@ -487,7 +488,7 @@
 
         private void followAgain(long at) {
             long mine = ++asked;
-            alarms.set(at, now -> {
+            timerQueue.set(at, now -> {
                 if (mine == asked) {
                     follow(now);
                 }
@@ -656,8 +657,8 @@
     /** What answers of late took, in parts of the expected; a few are taken to have been as expected. */
     private final class Took {
         private static final int FEW = 3;
-        private final FadingSum sum = new FadingSum(8.0 * health.firstBackoff, 0);
-        private final FadingSum count = new FadingSum(8.0 * health.firstBackoff, 0);
+        private final DecayingSum sum = new DecayingSum(8.0 * health.firstBackoff, 0);
+        private final DecayingSum count = new DecayingSum(8.0 * health.firstBackoff, 0);
 
         void add(long now, double ratio) {
             sum.add(now, ratio);
@@ -750,7 +751,7 @@
         private final Usual[] usual = new Usual[settings.classes().size()];
         private final long firstBackoff;
         /** Attempts of the last eight aims. */
-        private final FadingSum turns;
+        private final DecayingSum turns;
         private final double lately;
 
         Health() {
@@ -759,7 +760,7 @@
             }
             firstBackoff = settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(1);
             lately = 8.0 * firstBackoff;
-            turns = new FadingSum(lately, 0);
+            turns = new DecayingSum(lately, 0);
         }
 
         private void integrate(long now, Server server) {
@@ -868,12 +869,12 @@
          */
         private final ArrayDeque<Call> held = new ArrayDeque<>();
         private final double quota;
-        private final FadingSum spent;
+        private final DecayingSum spent;
         private long skippedAt;
 
         Share(double quota, double window) {
             this.quota = quota;
-            this.spent = new FadingSum(window, 0);
+            this.spent = new DecayingSum(window, 0);
         }
 
         double used(long now) {
@@ -909,8 +910,8 @@
          * Over two aims: whether an attempt was in time shows within one. Danger: shedding keeps newer
          * evidence away, and older would shed long after its jam.
          */
-        private final FadingSum tried = new FadingSum(2.0 * health.firstBackoff, 0);
-        private final FadingSum inTime = new FadingSum(2.0 * health.firstBackoff, 0);
+        private final DecayingSum tried = new DecayingSum(2.0 * health.firstBackoff, 0);
+        private final DecayingSum inTime = new DecayingSum(2.0 * health.firstBackoff, 0);
         /**
          * How many attempts may be out that are not yet known to be in time or late. Danger: with hundreds of
          * upstreams and sidecars no limit per upstream binds, and the first requests of all sidecars, at once
@@ -920,7 +921,7 @@
         private boolean opening = true;
         private long lastCut;
         private int unjudged;
-        private final FadingSum spared = new FadingSum(2.0 * health.firstBackoff, 0);
+        private final DecayingSum spared = new DecayingSum(2.0 * health.firstBackoff, 0);
 
         Admission() {
             for (int i = 0; i < shares.length; i++) {
@@ -974,7 +975,7 @@
                 share(call).held.push(call);
                 held++;
                 long hopeless = call.aimAt - (long) (1.5 * call.expected);  // later, half would be late
-                alarms.set(Math.max(now + 1, hopeless), at -> {
+                timerQueue.set(Math.max(now + 1, hopeless), at -> {
                     if (call.held) {
                         ledger.answer(call, FailureReason.HELD);
                     }
@@ -1137,13 +1138,13 @@
         /** Four aims: long enough to see several sidecars' turns, short against a fault. */
         private final double window = 4.0 * settings.classes().stream().mapToLong(RequestClass::latencyTarget)
                 .min().orElse(1);
-        private final FadingSum all = none();
+        private final DecayingSum all = none();
         private Map<Integer, Server> named = Map.of();
         private final ArrayDeque<Integer> untold = new ArrayDeque<>(MOST_NAMES);
         private double credit;
 
-        FadingSum none() {
-            return new FadingSum(window, 0);
+        DecayingSum none() {
+            return new DecayingSum(window, 0);
         }
 
         /** Names on the way are four bytes; the id has the same ones at every sidecar. */
@@ -1237,7 +1238,7 @@
                 actions.probe(server.entry.id());
             }
             call.pending = call.looked.size();
-            alarms.set(now + call.aim / PATIENCE, at -> decide(at, call, call.pending));
+            timerQueue.set(now + call.aim / PATIENCE, at -> decide(at, call, call.pending));
             return call.pending > 0;
         }
 
--- a/src/main/java/pondridge/Options.java
+++ b/src/main/java/pondridge/SettingsReader.java
@@ -21,11 +21,11 @@
  * answers for what only hosts need (names, connection limits). Keys it does not know are skipped; what makes
  * no sense is an {@link IllegalArgumentException} naming the key.
  */
-public final class Options {
+public final class SettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
     /** Reads one path=value a line. */
-    public Options(String text) {
+    public SettingsReader(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
--- a/src/main/java/pondridge/Alarms.java
+++ b/src/main/java/pondridge/TimerQueue.java
@@ -4,7 +4,7 @@
 import java.util.function.LongConsumer;
 
 /** Alarms of the module behind one timer of the host. A queue of times: it decides nothing. */
-final class Alarms {
+final class TimerQueue {
     private record Alarm(long at, long serial, LongConsumer what) { }
 
     private final PriorityQueue<Alarm> queue = new PriorityQueue<>((a, b) ->
@@ -14,7 +14,7 @@
     private long timerToken;
     private final Balancer.Actions actions;
 
-    Alarms(Balancer.Actions actions) {
+    TimerQueue(Balancer.Actions actions) {
         this.actions = actions;
     }
 
--- a/src/main/java/pondridge/adapter/Host.java
+++ b/src/main/java/pondridge/adapter/Host.java
@@ -10,8 +10,8 @@
 import pondridge.Balancer.Request;
 import pondridge.Balancer.Upstream;
 import pondridge.Balancer.UpstreamState;
-import pondridge.Options;
 import pondridge.Rules;
+import pondridge.SettingsReader;
 
 /**
  * Hands the events of a batch to the instances they name. It decides nothing and shares nothing between
@@ -77,7 +77,8 @@
     private void provision(long now, Cursor in) {
         int sidecar = in.u16();
         long seed = in.i64();
-        Balancer instance = new Rules(new Options(in.text(in.u32())).settings(), seed, replies.sink(sidecar));
+        Balancer instance = new Rules(new SettingsReader(in.text(in.u32())).settings(), seed,
+                replies.sink(sidecar));
         instances.put(sidecar, instance);
         instance.start(now);
     }
--- a/src/main/java/pondridge/sidecar/Config.java
+++ b/src/main/java/pondridge/sidecar/Config.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.StringJoiner;
-import pondridge.Options;
+import pondridge.SettingsReader;
 
 /** What one sidecar is told at its start; a mistake is an exception whose message names the key. */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        Peers.Addresses peers, Discovery.Listing known, Options options) {
+        Peers.Addresses peers, Discovery.Listing known, SettingsReader settingsReader) {
     static final ObjectMapper JSON = new ObjectMapper();
     private static final int FEWEST_SOCKETS = 64;
 
@@ -37,8 +37,8 @@
         }
         StringBuilder lines = new StringBuilder();
         flatten("", settings, lines);
-        Options options = new Options(lines.toString());
-        options.settings();
+        SettingsReader settingsReader = new SettingsReader(lines.toString());
+        settingsReader.settings();
         int sockets = root.path("limits").path("sockets").asInt(1024);
         if (sockets < FEWEST_SOCKETS) {
             throw new IllegalArgumentException("too few: limits.sockets");
@@ -46,7 +46,7 @@
         Discovery.Listing known = root.has("known") ? Discovery.Listing.of(root.get("known"))
                 : Discovery.Listing.NONE;
         return new Config(root.path("name").asText("sidecar"), address(root, "listen"),
-                address(root, "discovery"), seed(root), sockets, peers(root), known, options);
+                address(root, "discovery"), seed(root), sockets, peers(root), known, settingsReader);
     }
 
     private static InetSocketAddress address(JsonNode root, String key) {
@@ -89,7 +89,9 @@
         }
     }
 
-    /** Writes a JSON tree as the path=value lines of the simulator's wire, which {@link Options} reads. */
+    /**
+     * Writes a JSON tree as the path=value lines of the simulator's wire, which {@link SettingsReader} reads.
+     */
     private static void flatten(String path, JsonNode node, StringBuilder lines) {
         if (node.isObject()) {
             for (Map.Entry<String, JsonNode> field : node.properties()) {
--- a/src/main/java/pondridge/sidecar/Engine.java
+++ b/src/main/java/pondridge/sidecar/Engine.java
@@ -126,7 +126,7 @@
     private long lastId;
 
     Engine(EventLoop loop, Config config, int mostOpen) {
-        Balancer.Settings settings = config.options().settings();
+        Balancer.Settings settings = config.settingsReader().settings();
         this.loop = loop;
         this.guard = new LifecycleGuard(loop);
         this.classes = settings.classes();
@@ -134,12 +134,12 @@
         this.tryLimit = settings.capabilities().maxAttempts();
         this.mostOpen = mostOpen;
         this.automatic = settings.discovery() == Balancer.DiscoveryMode.AUTOMATIC;
-        this.upstreams = new Upstreams(loop, config.options(), config.sockets() / 2);
+        this.upstreams = new Upstreams(loop, config.settingsReader(), config.sockets() / 2);
         this.discovery = new Discovery(loop, config.discovery(), config.known(), this::listed);
         this.peers = new Peers(config.peers(), (from, message) ->
                 tell(now -> rules.peerMessageReceived(now, from, message)));
-        config.options().list("zones").forEach(zone -> number(zones, zone));
-        config.options().list("kinds").forEach(kind -> number(kinds, kind));
+        config.settingsReader().list("zones").forEach(zone -> number(zones, zone));
+        config.settingsReader().list("kinds").forEach(kind -> number(kinds, kind));
     }
 
     /** Begins with the cached list; on the loop, like all that follows. */
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pondridge.Options;
+import pondridge.SettingsReader;
 
 /** The application's side: accepts its connections and decides which of them may stay. */
 final class Frontend implements Acceptor.Listener {
@@ -29,10 +29,10 @@
     private boolean draining;
     private boolean finishing;
 
-    Frontend(Engine engine, LoopTimes times, Options options, int mostConnections) {
+    Frontend(Engine engine, LoopTimes times, SettingsReader settingsReader, int mostConnections) {
         this.engine = engine;
         this.times = times;
-        this.parser = new RequestParser(options);
+        this.parser = new RequestParser(settingsReader);
         this.mostConnections = mostConnections;
     }
 
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -67,13 +67,13 @@
     private static void start(EventLoop loop, LoopTimes times, Config config, Path file,
             boolean rehearsal) {
         Engine engine = new Engine(loop, config, config.sockets() / 2);
-        Frontend frontend = new Frontend(engine, times, config.options(), config.sockets() * 3 / 8);
+        Frontend frontend = new Frontend(engine, times, config.settingsReader(), config.sockets() * 3 / 8);
         engine.start(config.known());
         Hangup.handle(new Reload(loop, file, engine));
         long giveUpAt = System.nanoTime() + START_LIMIT_MS * 1_000_000;
         listen(loop, config, frontend, giveUpAt, address -> {
             endAtSigterm(loop, config, engine, frontend);
-            WarmUp.run(loop, config.options(), address,
+            WarmUp.run(loop, config.settingsReader(), address,
                     rehearsal ? Main::end : () -> ready(config, frontend), e -> fail("warm-up: " + e));
         });
     }
@@ -115,7 +115,7 @@
 
     /** The hook holds the process until all is answered, or SIGKILL is near. */
     private static void endAtSigterm(EventLoop loop, Config config, Engine engine, Frontend frontend) {
-        long longest = config.options().settings().classes().stream()
+        long longest = config.settingsReader().settings().classes().stream()
                 .mapToLong(RequestClass::deadline).max().orElse(0) / 1_000_000;
         Shutdown shutdown = new Shutdown(loop, engine, frontend, longest);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
--- a/src/main/java/pondridge/sidecar/RequestParser.java
+++ b/src/main/java/pondridge/sidecar/RequestParser.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import pondridge.Balancer.RequestClass;
 import pondridge.Balancer.Semantics;
-import pondridge.Options;
+import pondridge.SettingsReader;
 
 /** Reads from a request's head what the protocol page says of it. */
 final class RequestParser {
@@ -18,10 +18,10 @@
     private final List<String> classNames;
     private final List<String> tenantNames;
 
-    RequestParser(Options options) {
-        this.classes = options.settings().classes();
-        this.classNames = options.names("profiles");
-        this.tenantNames = options.names("parties");
+    RequestParser(SettingsReader settingsReader) {
+        this.classes = settingsReader.settings().classes();
+        this.classNames = settingsReader.names("profiles");
+        this.tenantNames = settingsReader.names("parties");
     }
 
     /** The path without its query. */
--- a/src/main/java/pondridge/sidecar/Upstreams.java
+++ b/src/main/java/pondridge/sidecar/Upstreams.java
@@ -30,7 +30,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
+import pondridge.SettingsReader;
 
 /**
  * Connections to upstreams and the attempts on them. An attempt is written once, on one connection, and ends
@@ -69,20 +69,20 @@
     private final long restNs;
     private int connections;
 
-    Upstreams(EventLoop loop, Options options, int mostConnections) {
-        this(loop, options, mostConnections, SURPLUS_REST_MS * 1_000_000);
+    Upstreams(EventLoop loop, SettingsReader settingsReader, int mostConnections) {
+        this(loop, settingsReader, mostConnections, SURPLUS_REST_MS * 1_000_000);
     }
 
     /** Connections that answer truthfully need no rest between two requests. */
-    Upstreams(EventLoop loop, Options options, int mostConnections, long restNs) {
+    Upstreams(EventLoop loop, SettingsReader settingsReader, int mostConnections, long restNs) {
         this.loop = loop;
         this.restNs = restNs;
-        int connectTimeoutMs = Math.max(1, (int) (options.number("caps.connectTimeout", 1e9) / 1e6));
+        int connectTimeoutMs = Math.max(1, (int) (settingsReader.number("caps.connectTimeout", 1e9) / 1e6));
         this.dialer = new Dialer(loop, connectTimeoutMs);
         // An upstream closes at its idle time; a tenth before it, no request can cross that on its way.
-        this.keepIdle = (long) (options.number("caps.connIdle", 5e9) * 0.9);
+        this.keepIdle = (long) (settingsReader.number("caps.connIdle", 5e9) * 0.9);
         this.mostConnections = mostConnections;
-        this.reportFields = options.list("report.fields");
+        this.reportFields = settingsReader.list("report.fields");
         long sweep = Math.max(1, keepIdle / 20);
         retirement = loop.scheduleWithFixedDelay(this::retire, sweep, sweep, TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -17,8 +17,8 @@
 import pondridge.Balancer.Settings;
 import pondridge.Balancer.Upstream;
 import pondridge.Balancer.UpstreamState;
-import pondridge.Options;
 import pondridge.Rules;
+import pondridge.SettingsReader;
 
 /**
  * Loads and compiles what every request runs through, before the first client comes: the sidecar asks its own
@@ -46,13 +46,13 @@
      * Runs on the loop. {@code done} follows within {@link #LONGEST}, also if the frontend can't be reached;
      * {@code failed} instead of it if something here can't be done at all.
      */
-    static void run(EventLoop loop, Options options, InetSocketAddress frontend, Runnable done,
+    static void run(EventLoop loop, SettingsReader settingsReader, InetSocketAddress frontend, Runnable done,
             Consumer<Throwable> failed) {
-        Upstreams self = new Upstreams(loop, options, 1, 0);
+        Upstreams self = new Upstreams(loop, settingsReader, 1, 0);
         WarmUp warmUp = new WarmUp(self, done, failed);
         loop.schedule(warmUp::end, LONGEST, TimeUnit.NANOSECONDS);
         warmUp.attempt(() -> {
-            decide(options.settings());
+            decide(settingsReader.settings());
             self.listed(0, frontend, 0, true);
             warmUp.ask(ROUNDS);
         });
--- a/src/test/java/pondridge/EmbeddingExampleTest.java
+++ b/src/test/java/pondridge/EmbeddingExampleTest.java
@@ -17,7 +17,7 @@
     @Test
     void hostDrivesTheModule() {
         // The host's side: carries out what the module orders (here it only writes it down).
-        Recorder host = new Recorder(Recorder.settings(Recorder.REPEATABLE), 42);
+        RecordingHost host = new RecordingHost(RecordingHost.settings(RecordingHost.REPEATABLE), 42);
         Balancer balancer = host.rules;
         long now = host.now;
 
@@ -25,7 +25,7 @@
                 new Upstream(1, 0, 0, 0, UpstreamState.READY, 1, 0),
                 new Upstream(2, 0, 0, 0, UpstreamState.READY, 1, 0)));
         balancer.requestArrived(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, 0, false, false));
-        Recorder.Sent sent = host.last();
+        RecordingHost.Sent sent = host.last();
         assertEquals(100, sent.request());
 
         now += 20_000_000;
@@ -33,7 +33,7 @@
         assertTrue(host.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
 
         // A restart: a new instance, a new seed, no memory.
-        Recorder restarted = new Recorder(Recorder.settings(Recorder.REPEATABLE), 43);
+        RecordingHost restarted = new RecordingHost(RecordingHost.settings(RecordingHost.REPEATABLE), 43);
         restarted.rules.listUpdated(now, ListUpdateType.CACHED, List.of());
         restarted.request(101, 0);
         assertEquals(List.of("refuse 101"), restarted.answers);
--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.MS;
+import static pondridge.RecordingHost.MS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,13 +25,14 @@
 class RandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
-    private static final List<RequestClass> CLASSES = List.of(Recorder.REPEATABLE, Recorder.ONCE,
-            Recorder.BY_CELL, Recorder.BY_ANY, Recorder.requestClass(Semantics.BY_KEY, KeyScope.ZONE));
+    private static final List<RequestClass> CLASSES = List.of(RecordingHost.REPEATABLE, RecordingHost.ONCE,
+            RecordingHost.BY_CELL, RecordingHost.BY_ANY,
+            RecordingHost.requestClass(Semantics.BY_KEY, KeyScope.ZONE));
 
     private static final class Book {
         final RequestClass kind;
         final long deadline;
-        final List<Recorder.Sent> sent = new ArrayList<>();
+        final List<RecordingHost.Sent> sent = new ArrayList<>();
         final Map<Integer, Outcome> ended = new HashMap<>();
         int answers;
 
@@ -52,7 +53,7 @@
     private final List<Long> asked = new ArrayList<>();
     private int probes;
     private int readLog;
-    private Recorder host;
+    private RecordingHost host;
 
     /** Reads the actions since the last event and checks each against the rules. */
     private void judge() {
@@ -61,7 +62,7 @@
             String[] action = host.log.get(readLog).split(" ");
             switch (action[0]) {
                 case "send" -> {
-                    Recorder.Sent sent = host.sends.get(sendsSeen);
+                    RecordingHost.Sent sent = host.sends.get(sendsSeen);
                     judgedSends.add(sendsSeen++);
                     judgeSend(sent);
                 }
@@ -75,13 +76,13 @@
         }
     }
 
-    private void judgeSend(Recorder.Sent sent) {
+    private void judgeSend(RecordingHost.Sent sent) {
         Book book = books.get(sent.request());
         assertEquals(0, book.answers, "sent after its end: " + sent);
         assertEquals(UpstreamState.READY, states.get(sent.upstream()), "drain: " + sent);
         assertTrue(book.sent.size() < 3, "try limit: " + sent);
-        Recorder.Sent doubt = null;
-        for (Recorder.Sent earlier : book.sent) {
+        RecordingHost.Sent doubt = null;
+        for (RecordingHost.Sent earlier : book.sent) {
             if (doubt == null && book.mayHaveRun(earlier.attempt())) {
                 doubt = earlier;
             }
@@ -115,7 +116,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void rulesHold(long seed) {
-        play(seed, Recorder.settings(CLASSES.toArray(new RequestClass[0])));
+        play(seed, RecordingHost.settings(CLASSES.toArray(new RequestClass[0])));
         assertTrue(asked.isEmpty(), "no probe is allowed");
     }
 
@@ -123,7 +124,7 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18})
     void rulesHoldWhereTheSidecarLooksBeforeASend(long seed) {
-        play(seed, Recorder.lookingSettings(500, CLASSES.toArray(new RequestClass[0])));
+        play(seed, RecordingHost.lookingSettings(500, CLASSES.toArray(new RequestClass[0])));
         assertTrue(probes > 100, "it looked: " + probes);
     }
 
@@ -141,15 +142,15 @@
 
     private void play(long seed, Balancer.Settings settings) {
         Random random = new Random(seed);
-        host = new Recorder(settings, seed);
+        host = new RecordingHost(settings, seed);
         int upstreams = 1 + random.nextInt(12);
         List<Upstream> first = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
-            first.add(Recorder.upstream(i));
+            first.add(RecordingHost.upstream(i));
             states.put((long) i, UpstreamState.READY);
         }
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, first);
-        List<Recorder.Sent> out = new ArrayList<>();
+        List<RecordingHost.Sent> out = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
         for (int step = 0; step < 6_000; step++) {
@@ -179,7 +180,7 @@
             }
             for (int i = out.size() - 1; i >= 0; i--) {
                 if (host.now >= books.get(out.get(i).request()).deadline) {
-                    Recorder.Sent sent = out.remove(i);
+                    RecordingHost.Sent sent = out.remove(i);
                     finish(sent, Outcome.TIMEOUT);
                 }
             }
@@ -199,12 +200,12 @@
         }
     }
 
-    private void end(Recorder.Sent sent, Random random) {
+    private void end(RecordingHost.Sent sent, Random random) {
         int draw = random.nextInt(10);
         finish(sent, draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
     }
 
-    private void finish(Recorder.Sent sent, Outcome outcome) {
+    private void finish(RecordingHost.Sent sent, Outcome outcome) {
         Book book = books.get(sent.request());
         boolean already = book.answers > 0;
         book.ended.put(sent.attempt(), outcome);
@@ -223,7 +224,7 @@
                 ? host.now - 100 * MS : 0;
         states.put(id, state);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
-                List.of(Recorder.upstream(id, state, startedAt)));
+                List.of(RecordingHost.upstream(id, state, startedAt)));
         judge();
     }
 }
--- a/src/test/java/pondridge/Recorder.java
+++ b/src/test/java/pondridge/RecordingHost.java
@@ -21,7 +21,7 @@
 import pondridge.Balancer.WeightMode;
 
 /** A host for tests: it keeps the clock, rings timers and writes down what the module orders. */
-final class Recorder implements Actions {
+final class RecordingHost implements Actions {
     static final long MS = 1_000_000;
     static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, KeyScope.ALL);
     static final RequestClass ONCE = requestClass(Semantics.ONCE, KeyScope.ALL);
@@ -41,7 +41,7 @@
     long now = 1_000 * MS;
     int subscriptions;
 
-    Recorder(Settings settings, long seed) {
+    RecordingHost(Settings settings, long seed) {
         rules = new Rules(settings, seed, this);
         rules.start(now);
     }
@@ -93,7 +93,7 @@
     }
 
     /** Lists upstreams 0 to count - 1 as ready and long started. */
-    Recorder withUpstreams(int count) {
+    RecordingHost withUpstreams(int count) {
         List<Upstream> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(upstream(i));
--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.BY_ANY;
-import static pondridge.Recorder.BY_CELL;
-import static pondridge.Recorder.MS;
-import static pondridge.Recorder.ONCE;
-import static pondridge.Recorder.REPEATABLE;
-import static pondridge.Recorder.settings;
-import static pondridge.Recorder.upstream;
+import static pondridge.RecordingHost.BY_ANY;
+import static pondridge.RecordingHost.BY_CELL;
+import static pondridge.RecordingHost.MS;
+import static pondridge.RecordingHost.ONCE;
+import static pondridge.RecordingHost.REPEATABLE;
+import static pondridge.RecordingHost.settings;
+import static pondridge.RecordingHost.upstream;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -30,12 +30,12 @@
 
 class RulesTest {
 
-    private static Recorder host(Balancer.RequestClass... classes) {
-        return new Recorder(settings(classes), 7);
+    private static RecordingHost host(Balancer.RequestClass... classes) {
+        return new RecordingHost(settings(classes), 7);
     }
 
     /** One turn of upstreams by requests that are answered at once, so that counts always tie. */
-    private static List<Long> turn(Recorder host, int length, long firstId) {
+    private static List<Long> turn(RecordingHost host, int length, long firstId) {
         List<Long> order = new ArrayList<>();
         for (int i = 0; i < length; i++) {
             host.request(firstId + i, 0);
@@ -50,7 +50,7 @@
 
     @Test
     void orderIsCycledAndEvenWhileCountsTie() {
-        Recorder host = host(REPEATABLE).withUpstreams(5);
+        RecordingHost host = host(REPEATABLE).withUpstreams(5);
         List<Long> first = turn(host, 5, 0);
         assertEquals(5, new HashSet<>(first).size());
         assertEquals(first, turn(host, 5, 5));
@@ -61,7 +61,7 @@
     void everyPermutationIsAboutEquallyLikely() {
         Map<List<Long>, Integer> seen = new HashMap<>();
         for (int seed = 0; seed < 6_000; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(3);
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(3);
             seen.merge(turn(host, 3, 0), 1, Integer::sum);
         }
         assertEquals(6, seen.size());
@@ -71,7 +71,7 @@
 
     @Test
     void lessBusyOfPointedAndNextIsChosen() {
-        Recorder host = host(REPEATABLE).withUpstreams(3);
+        RecordingHost host = host(REPEATABLE).withUpstreams(3);
         List<Long> order = turn(host, 3, 0);
         host.request(10, 0);
         assertEquals(order.get(0), host.last().upstream());
@@ -85,7 +85,7 @@
 
     @Test
     void redrawnOnlyWhenTheReadySetChanges() {
-        Recorder host = host(REPEATABLE).withUpstreams(8);
+        RecordingHost host = host(REPEATABLE).withUpstreams(8);
         List<Long> before = turn(host, 8, 0);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA, List.of(upstream(3)));
         assertEquals(before, turn(host, 8, 20));
@@ -98,7 +98,7 @@
 
     @Test
     void withNothingReadyTheRequestIsRefusedAtOnce() {
-        Recorder host = host(ONCE).withUpstreams(0);
+        RecordingHost host = host(ONCE).withUpstreams(0);
         host.request(1, 0);
         assertEquals(List.of("refuse 1"), host.answers);
     }
@@ -107,7 +107,7 @@
     void sameEventsGiveSameActions() {
         List<List<String>> logs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Recorder host = host(REPEATABLE, ONCE).withUpstreams(6);
+            RecordingHost host = host(REPEATABLE, ONCE).withUpstreams(6);
             host.serve(0, 60, 0, 3 * MS);
             for (int i = 100; i < 160; i++) {
                 host.request(i, i % 2);
@@ -121,7 +121,7 @@
 
     /** Turns of a slow and a fast upstream of two kinds, by what each takes. */
     private static List<Long> turnsOfTwoKinds(long fast, long slow) {
-        Recorder host = host(REPEATABLE);
+        RecordingHost host = host(REPEATABLE);
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(
                 new Balancer.Upstream(0, 0, 0, 0, UpstreamState.READY, 1, 0),
                 new Balancer.Upstream(1, 0, 1, 0, UpstreamState.READY, 1, 0)));
@@ -144,9 +144,9 @@
 
     @Test
     void aTimerThatRingsEarlyDoesNotLoseRequests() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.request(1, 0);
-        Recorder.Timer timer = host.timers.poll();
+        RecordingHost.Timer timer = host.timers.poll();
         host.now = timer.at() - 30;
         host.rules.timerFired(host.now, timer.token());
         host.advance(2_000 * MS);
@@ -155,7 +155,7 @@
 
     @Test
     void heldRequestsAreAnsweredBeforeTheirDeadline() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 50, 0);
         host.advance(1_000 * MS);
         assertEquals(50, new HashSet<>(host.answers).size());
@@ -164,7 +164,7 @@
 
     @Test
     void noTimeLeftIsAnsweredAtOnce() {
-        Recorder host = host(ONCE).withUpstreams(3);
+        RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0, 0);
         assertEquals(List.of("refuse 1"), host.answers);
         assertTrue(host.sends.isEmpty());
@@ -172,7 +172,7 @@
 
     @Test
     void answerIsGivenBeforeTheTimeThatTheHostNeeds() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.rules.requestArrived(host.now,
                 new Balancer.Request(1, 0, 0, 0, 1_000 * MS, 100 * MS, 0, false, false));
         host.advance(899 * MS);
@@ -183,9 +183,9 @@
 
     @Test
     void timeOutAtTheDeadlineIsFailedOnce() {
-        Recorder host = host(ONCE).withUpstreams(3);
+        RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
-        Recorder.Sent sent = host.last();
+        RecordingHost.Sent sent = host.last();
         host.now += 1_000 * MS;
         host.outcome(sent, Outcome.TIMEOUT);
         host.advance(100 * MS);
@@ -200,7 +200,7 @@
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Recorder host = host(ONCE).withUpstreams(4);
+            RecordingHost host = host(ONCE).withUpstreams(4);
             host.request(1, 0);
             host.outcome(host.last(), outcome);
             assertEquals(outcome.provesNeverRan() ? 2 : 1, host.sends.size(), outcome.toString());
@@ -212,7 +212,7 @@
 
     @Test
     void keyedStaysInItsCellAndWithinItsTime() {
-        Recorder host = host(BY_CELL).withUpstreams(9);
+        RecordingHost host = host(BY_CELL).withUpstreams(9);
         host.request(1, 0);
         long cell = host.last().upstream() / 3;
         host.outcome(host.last(), Outcome.ERROR);
@@ -226,7 +226,7 @@
 
     @Test
     void keyedWithScopeAllMayBeRefusedAfterDoubt() {
-        Recorder host = host(BY_ANY).withUpstreams(1);
+        RecordingHost host = host(BY_ANY).withUpstreams(1);
         host.request(1, 0);
         host.outcome(host.last(), Outcome.RESET);
         host.advance(1_000 * MS);
@@ -235,7 +235,7 @@
 
     @Test
     void tryLimitIsKept() {
-        Recorder host = host(REPEATABLE).withUpstreams(9);
+        RecordingHost host = host(REPEATABLE).withUpstreams(9);
         host.request(1, 0);
         for (int i = 0; i < 5 && host.answers.isEmpty(); i++) {
             host.outcome(host.last(), Outcome.REJECTED);
@@ -248,7 +248,7 @@
 
     @Test
     void drainingAndMissingUpstreamsGetNothingNew() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(2, UpstreamState.DRAINING, 0)));
         assertFalse(turn(host, 12, 0).contains(2L));
@@ -258,7 +258,8 @@
 
     @Test
     void failedSubscriptionKeepsTheListAndBacksOff() {
-        Recorder host = new Recorder(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        RecordingHost host = new RecordingHost(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7)
+                .withUpstreams(3);
         assertEquals(1, host.subscriptions);
         for (int i = 0; i < 8; i++) {
             host.rules.listUpdated(host.now, ListUpdateType.FAILED, List.of());
@@ -274,7 +275,8 @@
 
     @Test
     void unansweredSubscriptionIsRepeated() {
-        Recorder host = new Recorder(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        RecordingHost host = new RecordingHost(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7)
+                .withUpstreams(3);
         host.advance(6_000 * MS);
         assertEquals(2, host.subscriptions);
     }
@@ -283,7 +285,7 @@
 
     @Test
     void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 2_000, 0, 5 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
@@ -296,7 +298,7 @@
 
     @Test
     void aSidecarJustStartedGivesColdUpstreamsTheirShareToo() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 200, 0, 10 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
@@ -312,7 +314,7 @@
     void coldUpstreamGetsItsShareAlsoWhereTurnsAreLong() {
         int cold = 0;
         for (int seed = 0; seed < 50; seed++) {
-            Recorder one = new Recorder(settings(ONCE), seed).withUpstreams(60);
+            RecordingHost one = new RecordingHost(settings(ONCE), seed).withUpstreams(60);
             one.serve(0, 100, 0, 100 * MS);
             one.rules.listUpdated(one.now, ListUpdateType.DELTA,
                     List.of(upstream(99, UpstreamState.READY, one.now)));
@@ -335,7 +337,7 @@
 
     /** What a cold upstream gets in 6 s, by the times in which it and the warm ones answer. */
     private static long coldTurns(long cold, long warm) {
-        Recorder host = host(ONCE).withUpstreams(4);
+        RecordingHost host = host(ONCE).withUpstreams(4);
         host.serve(0, 400, 0, 60 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
@@ -343,7 +345,7 @@
         long end = host.now + 6_000 * MS;
         for (int id = 1_000; host.now < end; id++) {
             host.request(id, 0);
-            Recorder.Sent sent = host.last();
+            RecordingHost.Sent sent = host.last();
             long took = sent.upstream() == 9 ? cold : warm;
             host.advance(took);
             host.outcome(sent, Outcome.OK);
@@ -357,7 +359,7 @@
         int cold = 0;
         int warm = 0;
         for (int seed = 0; seed < 100; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(4);
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(4);
             host.serve(0, 20, 0, 500 * MS);
             host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                     List.of(upstream(9, UpstreamState.READY, host.now)));
@@ -373,7 +375,7 @@
     @Test
     void aSidecarThatKnowsNothingYetLeavesColdUpstreamsAlone() {
         for (int seed = 0; seed < 20; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(2);
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(2);
             host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                     List.of(upstream(9, UpstreamState.READY, host.now)));
             host.burst(0, 3, 0);
@@ -385,12 +387,12 @@
 
     @Test
     void silentUpstreamLosesItsTurns() {
-        Recorder host = host(ONCE, REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
         host.serve(0, 40, 0, 20 * MS);
         int before = host.sends.size();
         for (int i = 100; i < 160; i++) {
             host.request(i, 0);
-            Recorder.Sent sent = host.last();
+            RecordingHost.Sent sent = host.last();
             host.advance(20 * MS);
             if (sent.upstream() != 2) {
                 host.outcome(sent, Outcome.OK);
@@ -402,12 +404,12 @@
 
     @Test
     void fastErrorsDoNotWinTurns() {
-        Recorder host = host(ONCE, REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
         host.serve(0, 40, 0, 20 * MS);
         int before = host.sends.size();
         for (int i = 100; i < 200; i++) {
             host.request(i, 0);
-            Recorder.Sent sent = host.last();
+            RecordingHost.Sent sent = host.last();
             host.advance(sent.upstream() == 2 ? MS : 20 * MS);
             host.outcome(sent, sent.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
         }
@@ -417,7 +419,7 @@
 
     @Test
     void commonSlownessDoesNotEmptyThePattern() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 200, 0, 20 * MS);
         host.serve(1_000, 1_100, 0, 80 * MS);
         int before = host.sends.size();
@@ -431,7 +433,7 @@
     @Test
     void troubleOfMostDoesNotPressAllWorkOnTheRest() {
         for (int bad = 1; bad <= 3; bad++) {
-            Recorder host = new Recorder(Recorder.loneSettings(ONCE), 7).withUpstreams(4);
+            RecordingHost host = new RecordingHost(RecordingHost.loneSettings(ONCE), 7).withUpstreams(4);
             host.serve(0, 40, 0, 20 * MS);
             for (int i = 100; i < 130; i++) {
                 host.request(i, 0);
@@ -452,7 +454,7 @@
 
     @Test
     void allUnreachableIsStillTried() {
-        Recorder host = host(REPEATABLE).withUpstreams(2);
+        RecordingHost host = host(REPEATABLE).withUpstreams(2);
         for (int i = 0; i < 4; i++) {
             host.request(i, 0);
             host.outcome(host.last(), Outcome.CONNECT_FAILED);
@@ -464,7 +466,7 @@
 
     @Test
     void sheddingEndsSoonAfterTheJam() {
-        Recorder host = host(REPEATABLE).withUpstreams(20);
+        RecordingHost host = host(REPEATABLE).withUpstreams(20);
         host.serve(0, 40, 0, 20 * MS);
         host.burst(100, 140, 0);
         host.advance(1_000 * MS);
@@ -489,7 +491,7 @@
     /** Who has not been answered by its aim is late; that is known then, and not at its deadline. */
     @Test
     void lateAttemptsCountOnceTheirAimHasPassed() {
-        Recorder host = host(ONCE).withUpstreams(40);
+        RecordingHost host = host(ONCE).withUpstreams(40);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0);
             host.advance(3 * MS);
@@ -503,7 +505,7 @@
     /** A sidecar that sheds all would not see its upstreams recover: in any jam a few requests go on. */
     @Test
     void someRequestsAreSentInAnyJam() {
-        Recorder host = host(ONCE).withUpstreams(400);
+        RecordingHost host = host(ONCE).withUpstreams(400);
         for (int i = 0; i < 400; i++) {
             host.request(i, 0);
             host.advance(5 * MS);
@@ -519,9 +521,9 @@
 
     @Test
     void nothingIsKeptOfUpstreamsThatHaveLeft() {
-        Recorder host = host(ONCE).withUpstreams(3);
+        RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
-        Recorder.Sent sent = host.last();
+        RecordingHost.Sent sent = host.last();
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of());
         assertTrue(host.rules.describeState(host.now).startsWith("0 ready of 1 known"),
                 host.rules.describeState(host.now));
@@ -532,17 +534,17 @@
 
     @Test
     void turnsReachEachOfAThousandAndMoreUpstreams() {
-        Recorder host = host(REPEATABLE).withUpstreams(1_024);
+        RecordingHost host = host(REPEATABLE).withUpstreams(1_024);
         assertEquals(1_024, new HashSet<>(turn(host, 1_024, 0)).size());
     }
 
     /** Where no limit per upstream binds, all that come together after a start are not sent together. */
     @Test
     void attemptsThatAreOutAreBoundedUntilAnswersCome() {
-        Recorder host = new Recorder(Recorder.peerSettings(ONCE), 7).withUpstreams(100);
+        RecordingHost host = new RecordingHost(RecordingHost.peerSettings(ONCE), 7).withUpstreams(100);
         host.burst(0, 100, 0);
         assertTrue(host.sends.size() <= 8, "at once " + host.sends.size());
-        host = new Recorder(Recorder.peerSettings(ONCE), 7).withUpstreams(100);
+        host = new RecordingHost(RecordingHost.peerSettings(ONCE), 7).withUpstreams(100);
         host.serveTogether(1_000, 6, 0, 20 * MS);
         int before = host.sends.size();
         host.burst(5_000, 5_080, 0);
@@ -551,7 +553,7 @@
 
     @Test
     void silenceBringsNoSecondCopy() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 80, 0, 20 * MS);
         host.request(100, 0);
         host.advance(300 * MS);
@@ -560,13 +562,13 @@
 
     // ---------------------------------------------------------------- warnings
 
-    private static Recorder peer(int seed) {
-        return new Recorder(Recorder.peerSettings(ONCE), seed).withUpstreams(20);
+    private static RecordingHost peer(int seed) {
+        return new RecordingHost(RecordingHost.peerSettings(ONCE), seed).withUpstreams(20);
     }
 
     /** Has a sidecar that sends to upstream 3 alone find it silent; what it tells of that. */
     private static List<byte[]> warnings(int attempts) {
-        Recorder host = new Recorder(Recorder.peerSettings(ONCE), 7);
+        RecordingHost host = new RecordingHost(RecordingHost.peerSettings(ONCE), 7);
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(upstream(1), upstream(2)));
         host.serve(0, 400, 0, 20 * MS);
         assertTrue(host.told.isEmpty(), "nothing to tell while all answer");
@@ -582,7 +584,7 @@
     void whatOneSidecarFindsSilentTheOthersPassOver() {
         List<byte[]> told = warnings(8);
         assertFalse(told.isEmpty());
-        Recorder host = peer(7);
+        RecordingHost host = peer(7);
         host.serve(0, 40, 0, 20 * MS);
         for (int from = 1; from <= 9; from++) {
             host.rules.peerMessageReceived(host.now, from, told.get(0));
@@ -598,7 +600,7 @@
 
     @Test
     void warningsOfAllUpstreamsShutNone() {
-        Recorder host = peer(7);
+        RecordingHost host = peer(7);
         host.serve(0, 40, 0, 20 * MS);
         for (int id = 0; id < 20; id++) {
             for (int from = 1; from <= 9; from++) {
@@ -614,7 +616,7 @@
 
     @Test
     void messagesThatMakeNoSenseArePassedOver() {
-        Recorder host = peer(7);
+        RecordingHost host = peer(7);
         for (byte[] odd : new byte[][] {{}, {1}, {0, 0, 0, 99}, {0, 0, 0, 3, 7}, new byte[256]}) {
             host.rules.peerMessageReceived(host.now, 50_000, odd);
         }
@@ -624,7 +626,7 @@
 
     @Test
     void warningsKeepToTheirPartOfWhatMessagesCost() {
-        Recorder host = peer(7);
+        RecordingHost host = peer(7);
         for (int i = 0; i < 500; i++) {
             int before = host.sends.size();
             host.request(i, 0);
@@ -640,13 +642,13 @@
     /** Where a whole turn takes long, a shut gate is not tried at each of its turns. */
     @Test
     void aSilentUpstreamIsTriedLessOftenThanItsTurns() {
-        Recorder host = host(ONCE).withUpstreams(20);
+        RecordingHost host = host(ONCE).withUpstreams(20);
         host.serve(0, 100, 0, 20 * MS);
         host.advance(20_000 * MS);
         int before = host.sends.size();
         for (int i = 1_000; i < 1_100; i++) {
             host.request(i, 0);
-            Recorder.Sent sent = host.last();
+            RecordingHost.Sent sent = host.last();
             boolean silent = sent.upstream() == 3;
             host.advance(silent ? 1_000 * MS : 20 * MS);
             host.outcome(sent, silent ? Outcome.CANCELLED : Outcome.OK);
@@ -658,12 +660,12 @@
 
     // ---------------------------------------------------------------- a look before a send
 
-    private static Recorder lookingHost(int replicas) {
-        return new Recorder(Recorder.lookingSettings(replicas, REPEATABLE), 7).withUpstreams(10);
+    private static RecordingHost lookingHost(int replicas) {
+        return new RecordingHost(RecordingHost.lookingSettings(replicas, REPEATABLE), 7).withUpstreams(10);
     }
 
     /** Answers every probe so far: so many in hand at each upstream, the last of them at {@code idle}. */
-    private static void tell(Recorder host, float inHand, int idle) {
+    private static void tell(RecordingHost host, float inHand, int idle) {
         List<Long> asked = host.log.stream().filter(line -> line.startsWith("probe "))
                 .map(line -> Long.parseLong(line.substring(6))).toList();
         host.log.clear();
@@ -676,7 +678,7 @@
 
     @Test
     void busyEntriesArePassedOverWhereAProbeIsAllButFree() {
-        Recorder host = lookingHost(100);
+        RecordingHost host = lookingHost(100);
         host.request(1, 0);
         assertTrue(host.sends.isEmpty(), "it looks first");
         List<String> asked = host.log.stream().filter(line -> line.startsWith("probe ")).toList();
@@ -687,7 +689,7 @@
 
     @Test
     void aLookThatNobodyAnswersHoldsNothingUp() {
-        Recorder host = lookingHost(100);
+        RecordingHost host = lookingHost(100);
         host.request(1, 0);
         host.advance(30 * MS);
         assertEquals(1, host.sends.size());
@@ -695,7 +697,7 @@
 
     @Test
     void whereAllAskedAreFullTheRequestIsRefusedAtOnce() {
-        Recorder host = lookingHost(100);
+        RecordingHost host = lookingHost(100);
         for (int i = 0; i < 40; i++) {
             host.request(i, 0);
             tell(host, 0, 0);
@@ -709,7 +711,7 @@
 
     @Test
     void anAttemptIsGivenUpAtItsAimOnlyWhereLooksShowWhatUpstreamsHold() {
-        Recorder host = lookingHost(100);
+        RecordingHost host = lookingHost(100);
         host.request(1, 0);
         tell(host, 0, 0);
         assertEquals(List.of("send 1 " + host.last().upstream() + " " + 499 * MS),
@@ -721,7 +723,7 @@
 
     @Test
     void fewSidecarsDoNotLook() {
-        Recorder host = lookingHost(3);
+        RecordingHost host = lookingHost(3);
         host.request(1, 0);
         assertEquals(1, host.sends.size());
         assertFalse(host.log.stream().anyMatch(line -> line.startsWith("probe ")));
@@ -733,11 +735,11 @@
     void markedRetriesAreShedMoreReadilyThanFirstTries() {
         int[] sent = new int[2];
         for (int seed = 0; seed < 100; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(40);
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(40);
             host.serveTogether(1_000, 3, 0, 20 * MS);
             for (int i = 0; i < 20; i++) {
                 host.request(i, 0);
-                Recorder.Sent last = host.last();
+                RecordingHost.Sent last = host.last();
                 host.advance(5 * MS);
                 if (i % 2 == 0 && last.request() == i) {
                     host.outcome(last, Outcome.OK);
@@ -754,7 +756,7 @@
 
     @Test
     void lateAnswersBringSheddingAndAFewInTimeEndIt() {
-        Recorder host = host(REPEATABLE).withUpstreams(40);
+        RecordingHost host = host(REPEATABLE).withUpstreams(40);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0);
             host.advance(100 * MS);
@@ -771,7 +773,7 @@
 
     @Test
     void heldWorkIsSentNewestFirst() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
         int out = host.sends.size();
         assertTrue(out < 6, "some are held");
@@ -782,7 +784,7 @@
 
     @Test
     void hopelessLaterTriesAreAnsweredAtOnceUnderPressure() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
         int sent = host.sends.size();
         host.request(50, 0, 400 * MS);
@@ -792,7 +794,7 @@
 
     @Test
     void firstTriesWithLessTimeThanLastOnesStayFirst() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
         }
@@ -804,7 +806,7 @@
     @Test
     void tenantThatHadLeastOfItsQuotaGoesFirst() {
         Balancer.Settings base = settings(ONCE);
-        Recorder host = new Recorder(new Balancer.Settings(0, 1, 0, 5 * MS, DiscoveryMode.AUTOMATIC,
+        RecordingHost host = new RecordingHost(new Balancer.Settings(0, 1, 0, 5 * MS, DiscoveryMode.AUTOMATIC,
                 Balancer.WeightMode.SILENT, base.classes(), List.of(new Balancer.Tenant(0.5, 10),
                 new Balancer.Tenant(0.5, 10)), base.capabilities(), base.limits(), List.of(),
                 Balancer.Costs.NONE,
@@ -826,11 +828,11 @@
 
     @Test
     void aServiceOfOnceAloneStillTriesASuspectAgain() {
-        Recorder host = host(ONCE).withUpstreams(2);
+        RecordingHost host = host(ONCE).withUpstreams(2);
         host.serve(0, 40, 0, 20 * MS);
         for (int i = 100; i < 1_200; i++) {
             host.request(i, 0);
-            Recorder.Sent sent = host.last();
+            RecordingHost.Sent sent = host.last();
             host.advance(20 * MS);
             host.outcome(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
         }
@@ -850,7 +852,7 @@
 
     @Test
     void eventsAboutNothingHeldArePassedOver() {
-        Recorder host = host(REPEATABLE).withUpstreams(2);
+        RecordingHost host = host(REPEATABLE).withUpstreams(2);
         int before = host.log.size();
         host.rules.clientDisconnected(host.now, 99);
         host.rules.attemptEnded(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
--- a/src/test/java/pondridge/SettingsUnlikeTest.java
+++ b/src/test/java/pondridge/UnusualSettingsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.MS;
+import static pondridge.RecordingHost.MS;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,19 +19,19 @@
 import pondridge.Balancer.WeightMode;
 
 /** Settings far from the three deployments: bare hosts, lone servers, large and vanishing lists. */
-class SettingsUnlikeTest {
+class UnusualSettingsTest {
 
     /** A host that allows nothing but sending, with the given try limit. */
-    private static Recorder bare(int tryLimit, RequestClass... classes) {
+    private static RecordingHost bare(int tryLimit, RequestClass... classes) {
         Capabilities allowed = new Capabilities(false, false, false, false, false, tryLimit, 0, 0);
         Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
-        return new Recorder(new Settings(0, 1, 0, 0, DiscoveryMode.AUTOMATIC, WeightMode.SILENT,
+        return new RecordingHost(new Settings(0, 1, 0, 0, DiscoveryMode.AUTOMATIC, WeightMode.SILENT,
                 List.of(classes), List.of(), allowed, limits, List.of(), Balancer.Costs.NONE, true, 0), 5);
     }
 
     @Test
     void oneServerTakesAllInTurnAndIsTriedAgainWhenItReturns() {
-        Recorder host = bare(3, Recorder.ONCE).withUpstreams(1);
+        RecordingHost host = bare(3, RecordingHost.ONCE).withUpstreams(1);
         host.serve(0, 50, 0, 10 * MS);
         assertEquals(50, host.sends.size());
         host.request(100, 0);
@@ -44,14 +44,14 @@
 
     @Test
     void manyServersAllGetTheirTurn() {
-        Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(500);
+        RecordingHost host = bare(3, RecordingHost.REPEATABLE).withUpstreams(500);
         host.serve(0, 500, 0, MS);
-        assertEquals(500, host.sends.stream().mapToLong(Recorder.Sent::upstream).distinct().count());
+        assertEquals(500, host.sends.stream().mapToLong(RecordingHost.Sent::upstream).distinct().count());
     }
 
     @Test
     void aTryLimitOfOneMeansNoFurtherAttempt() {
-        Recorder host = bare(1, Recorder.REPEATABLE).withUpstreams(3);
+        RecordingHost host = bare(1, RecordingHost.REPEATABLE).withUpstreams(3);
         host.request(1, 0);
         host.outcome(host.last(), Outcome.REJECTED);
         assertEquals(1, host.sends.size());
@@ -60,7 +60,7 @@
 
     @Test
     void whatTheHostDoesNotAllowIsNeverAskedFor() {
-        Recorder host = bare(3, Recorder.REPEATABLE, Recorder.ONCE).withUpstreams(2);
+        RecordingHost host = bare(3, RecordingHost.REPEATABLE, RecordingHost.ONCE).withUpstreams(2);
         for (int i = 0; i < 40; i++) {
             host.request(i, i % 2);
         }
@@ -73,7 +73,7 @@
 
     @Test
     void aListThatEmptiesAndRefillsStartsAfresh() {
-        Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(4);
+        RecordingHost host = bare(3, RecordingHost.REPEATABLE).withUpstreams(4);
         host.serve(0, 20, 0, 10 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of());
         host.request(100, 0);
@@ -85,14 +85,14 @@
 
     @Test
     void aLoadReportIsNoPartOfThePick() {
-        Recorder one = bare(3, Recorder.REPEATABLE).withUpstreams(5);
-        Recorder other = bare(3, Recorder.REPEATABLE).withUpstreams(5);
+        RecordingHost one = bare(3, RecordingHost.REPEATABLE).withUpstreams(5);
+        RecordingHost other = bare(3, RecordingHost.REPEATABLE).withUpstreams(5);
         for (int i = 0; i < 30; i++) {
             one.request(i, 0);
             other.request(i, 0);
             one.advance(MS);
             other.advance(MS);
-            Recorder.Sent sent = one.last();
+            RecordingHost.Sent sent = one.last();
             one.rules.attemptEnded(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
             float[] report = {9, -1, 7e9f};
             other.rules.attemptEnded(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
@@ -104,9 +104,9 @@
     void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
         RequestClass stream =
                 new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, KeyScope.ALL, 0, true);
-        Recorder host = new Recorder(Recorder.settings(stream), 3).withUpstreams(3);
+        RecordingHost host = new RecordingHost(RecordingHost.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
-        Recorder.Sent sent = host.last();
+        RecordingHost.Sent sent = host.last();
         host.advance(100 * MS);
         host.rules.firstByte(host.now, 1, 0, sent.upstream(), 100 * MS);
         host.advance(2_000 * MS);
@@ -119,7 +119,7 @@
     @Test
     void onceAloneIsNeverSentTwiceOnDoubt() {
         for (Outcome doubt : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
-            Recorder host = bare(3, Recorder.ONCE).withUpstreams(6);
+            RecordingHost host = bare(3, RecordingHost.ONCE).withUpstreams(6);
             host.request(doubt.ordinal(), 0);
             host.outcome(host.last(), doubt);
             assertEquals(1, host.sendsOf(doubt.ordinal()).size(), doubt.name());
@@ -128,10 +128,10 @@
 
     @Test
     void drainingEverywhereStopsAllNewWork() {
-        Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(2);
+        RecordingHost host = bare(3, RecordingHost.REPEATABLE).withUpstreams(2);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA, List.of(
-                Recorder.upstream(0, UpstreamState.DRAINING, 0),
-                Recorder.upstream(1, UpstreamState.DRAINING, 0)));
+                RecordingHost.upstream(0, UpstreamState.DRAINING, 0),
+                RecordingHost.upstream(1, UpstreamState.DRAINING, 0)));
         host.request(1, 0);
         assertEquals(0, host.sends.size());
         assertEquals(List.of("refuse 1"), host.answers);
--- a/src/test/java/pondridge/adapter/WireTest.java
+++ b/src/test/java/pondridge/adapter/WireTest.java
@@ -16,7 +16,7 @@
 import pondridge.Balancer.FailureReason;
 import pondridge.Balancer.Semantics;
 import pondridge.Balancer.Settings;
-import pondridge.Options;
+import pondridge.SettingsReader;
 
 class WireTest {
     static final String OPTIONS = String.join("\n",
@@ -155,7 +155,7 @@
 
     @Test
     void settingsAreReadAndMissingOnesNamed() {
-        Settings settings = new Options(OPTIONS).settings();
+        Settings settings = new SettingsReader(OPTIONS).settings();
         assertEquals(Semantics.ONCE, settings.classes().get(0).semantics());
         assertEquals(2.5, settings.classes().get(0).value());
         assertEquals(2, settings.reportFields().size());
--- a/src/test/java/pondridge/sidecar/Bed.java
+++ b/src/test/java/pondridge/sidecar/Bed.java
@@ -39,7 +39,7 @@
     Bed(ObjectNode json) throws Exception {
         Config config = Config.of(json);
         engine = new Engine(loop, config, 100);
-        frontend = new Frontend(engine, times, config.options(), 100);
+        frontend = new Frontend(engine, times, config.settingsReader(), 100);
         loop.submit(() -> engine.start(config.known())).sync();
         address = (InetSocketAddress) frontend.listen(loop, config.listen()).sync().channel().localAddress();
     }
--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/ConfigTest.java
@@ -17,12 +17,12 @@
     @Test
     void settingsReadAsOnTheSimulatorsWire() throws Exception {
         Config config = Config.of(Bed.json());
-        Settings settings = config.options().settings();
+        Settings settings = config.settingsReader().settings();
         assertEquals(List.of("rate", "q"), settings.reportFields());
         assertEquals(Semantics.ONCE, settings.classes().get(2).semantics());
         assertEquals(750_000_000, settings.capabilities().maxRetryAfter());
-        assertEquals(List.of("look", "hold", "book"), config.options().names("profiles"));
-        assertEquals(List.of("acme"), config.options().names("parties"));
+        assertEquals(List.of("look", "hold", "book"), config.settingsReader().names("profiles"));
+        assertEquals(List.of("acme"), config.settingsReader().names("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
         assertEquals(41, config.known().rev());
     }
--- a/src/test/java/pondridge/sidecar/UpstreamsTest.java
+++ b/src/test/java/pondridge/sidecar/UpstreamsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
+import pondridge.SettingsReader;
 
 /** Attempts and probes on real connections, and what they end as. */
 class UpstreamsTest {
@@ -45,10 +45,10 @@
     }
 
     private Upstreams upstreams(InetSocketAddress address, long connectTimeout, int most) throws Exception {
-        Options options = new Options("caps.connectTimeout=" + connectTimeout
+        SettingsReader settingsReader = new SettingsReader("caps.connectTimeout=" + connectTimeout
                 + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
-            Upstreams made = new Upstreams(loop, options, most);
+            Upstreams made = new Upstreams(loop, settingsReader, most);
             made.listed(1, address, 0, true);
             return made;
         }).get();
--- a/src/test/java/pondridge/sidecar/WarmUpTest.java
+++ b/src/test/java/pondridge/sidecar/WarmUpTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pondridge.Options;
+import pondridge.SettingsReader;
 
 /** A warm-up has one end, whatever happens in it. */
 class WarmUpTest {
@@ -26,14 +26,14 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void run(Options options, InetSocketAddress frontend, Runnable done) {
-        loop.execute(() -> WarmUp.run(loop, options, frontend, done, e -> ends.add("failed: " + e)));
+    private void run(SettingsReader settingsReader, InetSocketAddress frontend, Runnable done) {
+        loop.execute(() -> WarmUp.run(loop, settingsReader, frontend, done, e -> ends.add("failed: " + e)));
     }
 
     @Test
     void doneFollowsAlsoIfTheFrontendIsNotThere() throws Exception {
         try (Stub gone = new Stub((socket, head) -> false)) {
-            run(Config.of(Bed.json()).options(), gone.address(), () -> ends.add("done"));
+            run(Config.of(Bed.json()).settingsReader(), gone.address(), () -> ends.add("done"));
             assertEquals("done", Stub.next(ends));
         }
     }
@@ -41,10 +41,10 @@
     @Test
     void whatCannotBeDoneIsToldInsteadOfDone() throws Exception {
         try (Stub frontend = new Stub((socket, head) -> Stub.reply(socket, "400 Bad Request", "", ""))) {
-            run(new Options(""), frontend.address(), () -> ends.add("done"));
+            run(new SettingsReader(""), frontend.address(), () -> ends.add("done"));
             String end = Stub.next(ends);
             assertTrue(end.startsWith("failed: ") && end.contains("profiles.count"), end);
-            run(Config.of(Bed.json()).options(), frontend.address(), () -> {
+            run(Config.of(Bed.json()).settingsReader(), frontend.address(), () -> {
                 throw new IllegalStateException("not ready");
             });
             end = Stub.next(ends);
