--- a/src/main/java/pondridge/sidecar/Acceptor.java
+++ b/src/main/java/pondridge/sidecar/Acceptor.java
@@ -51,7 +51,7 @@
      * @throws io.netty.channel.ChannelException if no socket can be had
      */
     static ChannelFuture listen(EventLoop loop, InetSocketAddress address, Listener listener) {
-        ListenChannel channel = new ListenChannel();
+        ServerChannel channel = new ServerChannel();
         channel.config().setOption(ChannelOption.SO_BACKLOG, BACKLOG);
         channel.config().setOption(ChannelOption.SO_REUSEADDR, true);
         channel.pipeline().addLast(new Acceptor(listener));
--- a/src/main/java/pondridge/sidecar/LogStream.java
+++ b/src/main/java/pondridge/sidecar/AsyncLogStream.java
@@ -15,7 +15,7 @@
  * Standard error whose writers never wait: lines are queued and written by a thread of their own. Where the
  * log's reader or disk can't keep up, lines are dropped and counted; a write that fails loses its line alone.
  */
-final class LogStream extends OutputStream {
+final class AsyncLogStream extends OutputStream {
     private static final int MOST_QUEUED_BYTES = 256 * 1024;
     private static final int LONGEST_LINE_BYTES = 4 * 1024;
     private static final int POLL_MS = 2;
@@ -27,7 +27,7 @@
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
     /** A stream that queues lines for a target. */
-    LogStream(OutputStream target) {
+    AsyncLogStream(OutputStream target) {
         this.target = target;
         Thread writer = new Thread(this::writeLines, "log");
         writer.setDaemon(true);
@@ -35,8 +35,8 @@
     }
 
     /** Puts such a stream in the place of {@link System#err}. */
-    static LogStream install() {
-        LogStream log = new LogStream(new FileOutputStream(FileDescriptor.err));
+    static AsyncLogStream install() {
+        AsyncLogStream log = new AsyncLogStream(new FileOutputStream(FileDescriptor.err));
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         return log;
     }
--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -21,7 +21,8 @@
  * One client connection. Requests are answered one after the other in the order in which they were read. The
  * connection is read at all times, so that its end is seen: nothing is begun for a client that has gone.
  */
-final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> implements Engine.Client {
+final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest>
+        implements RequestDispatcher.ClientCallback {
     /** From connecting to a whole request, and from a request's first bytes to its last. */
     static final long FIRST_REQUEST_MS = 2_200;
     /** From an answer to the next request; longer than most clients pause. */
@@ -40,7 +41,7 @@
     private record Queued(FullHttpRequest message, long readAt) { }
 
     private final Frontend frontend;
-    private final Engine engine;
+    private final RequestDispatcher dispatcher;
     private final Channel channel;
     private final RequestDecoder decoder;
     private final boolean crowded;
@@ -66,10 +67,10 @@
      * @param crowded whether this connection is over the number that may stay: its request is refused
      * @param unaccepted for how many nanoseconds the connection may have waited to be accepted
      */
-    ClientConnection(Frontend frontend, Engine engine, Channel channel, RequestDecoder decoder,
+    ClientConnection(Frontend frontend, RequestDispatcher dispatcher, Channel channel, RequestDecoder decoder,
             boolean crowded, long unaccepted) {
         this.frontend = frontend;
-        this.engine = engine;
+        this.dispatcher = dispatcher;
         this.channel = channel;
         this.decoder = decoder;
         this.crowded = crowded;
@@ -100,7 +101,7 @@
 
     /** Closes the connection if it rests. */
     void dismiss() {
-        if (engine.guard().mayClose(resting())) {
+        if (dispatcher.guard().mayClose(resting())) {
             close();
         }
     }
@@ -109,7 +110,7 @@
     void finish() {
         ending = true;
         if (busy && request != 0) {
-            engine.giveUp(request);
+            dispatcher.giveUp(request);
         } else if (!busy && decoder.holdsPartialRequest()) {
             busy = true;
             keepAlive = false;
@@ -175,7 +176,7 @@
         if (!gone && taken < position) {
             rushedUntil = Math.max(rushedUntil, position);
             if (busy && request != 0) {
-                engine.giveUp(request);
+                dispatcher.giveUp(request);
             }
         }
     }
@@ -217,7 +218,7 @@
         if (next.message() == null) {
             taken++;
             request = 0;
-            if (engine.guard().mayStart(present())) {
+            if (dispatcher.guard().mayStart(present())) {
                 answer(Responses.refused(0));
             }
             return;
@@ -239,7 +240,7 @@
         request = 0;
         taken++;
         cancelPatience();
-        if (!engine.guard().mayStart(present())) {
+        if (!dispatcher.guard().mayStart(present())) {
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(message);
@@ -250,7 +251,7 @@
         String path = RequestParser.path(message);
         if (crowded || frontend.finishing() || taken < rushedUntil) {
             // A bare close would lose what the client has already written.
-            engine.turnedAway(message.headers());
+            dispatcher.turnedAway(message.headers());
             answer(Responses.refused(0));
         } else if (path.equals("/up")) {
             boolean up = frontend.up();
@@ -272,9 +273,9 @@
     }
 
     private void submit(FullHttpRequest message, long waited) {
-        Engine.Job job;
+        RequestDispatcher.ClientRequest clientRequest;
         try {
-            job = frontend.parser().parse(message, waited);
+            clientRequest = frontend.parser().parse(message, waited);
         } catch (IllegalArgumentException e) {
             answer(Responses.plain(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
             return;
@@ -282,7 +283,7 @@
         // The answer may come within this call; then the connection may already hold another request.
         long submitted = taken;
         awaitsAnswer = true;
-        long id = engine.submit(job, this);
+        long id = dispatcher.submit(clientRequest, this);
         if (awaitsAnswer && taken == submitted) {
             request = id;
         }
@@ -294,7 +295,7 @@
     }
 
     @Override
-    public void served(Engine.Answer answer) {
+    public void served(RequestDispatcher.UpstreamResponse answer) {
         answer(Responses.served(answer));
     }
 
@@ -347,9 +348,9 @@
         queue.clear();
         if (request != 0) {
             if (ending) {
-                engine.guard().report(LifecycleGuard.Violation.CLOSED_UNANSWERED, "request " + request);
+                dispatcher.guard().report(LifecycleGuard.Violation.CLOSED_UNANSWERED, "request " + request);
             }
-            engine.hangup(request);
+            dispatcher.hangup(request);
         }
     }
 
@@ -357,7 +358,7 @@
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         boolean leftMidway = cause instanceof PrematureChannelClosureException;
         if (!leftMidway && !(cause instanceof IOException)) {
-            engine.guard().report("frontend", cause);
+            dispatcher.guard().report("frontend", cause);
         }
         channel.close();
     }
--- a/src/main/java/pondridge/sidecar/Config.java
+++ b/src/main/java/pondridge/sidecar/Config.java
@@ -18,7 +18,7 @@
 
 /** What one sidecar is told at its start; a mistake is an exception whose message names the key. */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        Peers.Addresses peers, Discovery.Listing known, SettingsReader settingsReader) {
+        PeerMessenger.Addresses peers, DiscoveryClient.UpstreamList known, SettingsReader settingsReader) {
     static final ObjectMapper JSON = new ObjectMapper();
     private static final int FEWEST_SOCKETS = 64;
 
@@ -43,8 +43,9 @@
         if (sockets < FEWEST_SOCKETS) {
             throw new IllegalArgumentException("too few: limits.sockets");
         }
-        Discovery.Listing known = root.has("known") ? Discovery.Listing.of(root.get("known"))
-                : Discovery.Listing.NONE;
+        DiscoveryClient.UpstreamList known = root.has("known")
+                ? DiscoveryClient.UpstreamList.of(root.get("known"))
+                : DiscoveryClient.UpstreamList.NONE;
         return new Config(root.path("name").asText("sidecar"), address(root, "listen"),
                 address(root, "discovery"), seed(root), sockets, peers(root), known, settingsReader);
     }
@@ -57,13 +58,13 @@
         return address;
     }
 
-    private static Peers.Addresses peers(JsonNode root) {
+    private static PeerMessenger.Addresses peers(JsonNode root) {
         List<InetSocketAddress> each = new ArrayList<>();
         root.path("peers").forEach(node -> each.add(parseAddress(node.asText())));
         if (each.contains(null)) {
             throw new IllegalArgumentException("not an address and port: peers");
         }
-        return new Peers.Addresses(root.has("peer_listen") ? address(root, "peer_listen") : null,
+        return new PeerMessenger.Addresses(root.has("peer_listen") ? address(root, "peer_listen") : null,
                 Collections.unmodifiableList(each),
                 root.has("peers_all") ? address(root, "peers_all") : null);
     }
--- a/src/main/java/pondridge/sidecar/Reload.java
+++ b/src/main/java/pondridge/sidecar/ConfigReloader.java
@@ -10,18 +10,18 @@
  * restart. One that can't be understood changes nothing; one that can't be opened is tried again for a while,
  * since that may be this machine's trouble.
  */
-final class Reload implements Runnable {
+final class ConfigReloader implements Runnable {
     /** Whatever discovery has to tell counts as told 4 s after the signal (TERMS). */
     private static final long LONGEST_TRY_MS = 3_000;
 
     private final EventLoop loop;
     private final Path file;
-    private final Engine engine;
+    private final RequestDispatcher dispatcher;
 
-    Reload(EventLoop loop, Path file, Engine engine) {
+    ConfigReloader(EventLoop loop, Path file, RequestDispatcher dispatcher) {
         this.loop = loop;
         this.file = file;
-        this.engine = engine;
+        this.dispatcher = dispatcher;
     }
 
     /** Signals in a row are handled one after the other, so that the file read last counts. */
@@ -29,9 +29,9 @@
     public synchronized void run() {
         try {
             InetSocketAddress discovery =
-                    Retry.whileInputFails(LONGEST_TRY_MS, () -> Config.read(file)).discovery();
+                    IoRetry.whileInputFails(LONGEST_TRY_MS, () -> Config.read(file)).discovery();
             System.err.println("pondridge: configuration read again, discovery at " + discovery);
-            loop.execute(() -> engine.discoveryMoved(discovery));
+            loop.execute(() -> dispatcher.discoveryMoved(discovery));
         } catch (RuntimeException | IOException e) {
             System.err.println("pondridge: configuration not taken over, the last one holds: "
                     + e.getMessage());
--- a/src/main/java/pondridge/sidecar/Dialer.java
+++ b/src/main/java/pondridge/sidecar/Dialer.java
@@ -89,7 +89,7 @@
         private void attempt() {
             retry = null;
             try {
-                channel = new StreamChannel();
+                channel = new RetryingSocketChannel();
             } catch (ChannelException e) {
                 tryAgain(e);
                 return;
--- a/src/main/java/pondridge/sidecar/Discovery.java
+++ b/src/main/java/pondridge/sidecar/DiscoveryClient.java
@@ -37,7 +37,7 @@
  * Asks discovery for the list: a watch on its changes, or the whole once. Where changes are to come
  * unprompted, a watch is kept open from here; else the module decides when.
  */
-final class Discovery {
+final class DiscoveryClient {
     /** A call waits for up to 2 s and empty lines come every 2 s: longer silence is a break. */
     private static final long SILENCE_MS = 5_000;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -47,11 +47,11 @@
     private static final long LONGEST_WAIT_MS = 800;
 
     /** One line of the list; names are still discovery's. */
-    record Target(String uid, InetSocketAddress endpoint, String zone, String kind, int cell,
+    record ListEntry(String uid, InetSocketAddress endpoint, String zone, String kind, int cell,
             UpstreamState state, float weight, long startedMs) {
 
         /** An entry, or null where it can't be understood. */
-        private static Target of(JsonNode node) {
+        private static ListEntry of(JsonNode node) {
             String uid = node.path("uid").asText("");
             UpstreamState state = switch (node.path("state").asText()) {
                 case "SERVING" -> UpstreamState.READY;
@@ -64,7 +64,7 @@
                 System.err.println("discovery: entry passed over: " + node);
                 return null;
             }
-            return new Target(uid, endpoint, node.path("az").asText(""), node.path("model").asText(""),
+            return new ListEntry(uid, endpoint, node.path("az").asText(""), node.path("model").asText(""),
                     node.path("pod_group").asInt(), state, (float) node.path("capacity_hint").asDouble(1),
                     node.path("boot_ms").asLong());
         }
@@ -74,37 +74,37 @@
      * A list or a change of it; {@code unread} are the names of entries that can't be understood, an empty
      * one if not even that can be read.
      */
-    record Listing(long rev, boolean all, List<Target> targets, Set<String> unread) {
-        static final Listing NONE = new Listing(0, true, List.of(), Set.of());
+    record UpstreamList(long rev, boolean all, List<ListEntry> targets, Set<String> unread) {
+        static final UpstreamList NONE = new UpstreamList(0, true, List.of(), Set.of());
 
-        static Listing of(JsonNode node) {
-            List<Target> targets = new ArrayList<>();
+        static UpstreamList of(JsonNode node) {
+            List<ListEntry> targets = new ArrayList<>();
             Set<String> unread = new HashSet<>();
             for (JsonNode each : node.path("targets")) {
-                Target target = Target.of(each);
+                ListEntry target = ListEntry.of(each);
                 if (target != null) {
                     targets.add(target);
                 } else {
                     unread.add(each.path("uid").asText(""));
                 }
             }
-            return new Listing(node.path("rev").asLong(), node.path("all").asBoolean(), targets, unread);
+            return new UpstreamList(node.path("rev").asLong(), node.path("all").asBoolean(), targets, unread);
         }
     }
 
     private final EventLoop loop;
     private final Dialer dialer;
     private InetSocketAddress address;
-    private final BiConsumer<ListUpdateType, List<Target>> listener;
-    private final Map<String, Target> lastGood = new HashMap<>();
+    private final BiConsumer<ListUpdateType, List<ListEntry>> listener;
+    private final Map<String, ListEntry> lastGood = new HashMap<>();
     private long rev;
     private Call watch;
     private boolean following;
     private long waitMs = FIRST_WAIT_MS;
 
     /** Tells {@code listener}, on the loop, of each answer and each failure of what the module asked for. */
-    Discovery(EventLoop loop, InetSocketAddress address, Listing known,
-            BiConsumer<ListUpdateType, List<Target>> listener) {
+    DiscoveryClient(EventLoop loop, InetSocketAddress address, UpstreamList known,
+            BiConsumer<ListUpdateType, List<ListEntry>> listener) {
         this.loop = loop;
         this.dialer = new Dialer(loop, CONNECT_TIMEOUT_MS);
         this.address = address;
@@ -118,10 +118,10 @@
      * understood of them holds, while those it does not name are gone. An entry without a name that can be
      * read may be any of those: all are kept then.
      */
-    private List<Target> remember(Listing listing) {
-        List<Target> targets = new ArrayList<>(listing.targets());
+    private List<ListEntry> remember(UpstreamList listing) {
+        List<ListEntry> targets = new ArrayList<>(listing.targets());
         if (listing.all()) {
-            Map<String, Target> before = new HashMap<>(lastGood);
+            Map<String, ListEntry> before = new HashMap<>(lastGood);
             targets.forEach(target -> before.remove(target.uid()));
             if (!listing.unread().contains("")) {
                 before.keySet().retainAll(listing.unread());
@@ -129,7 +129,7 @@
             targets.addAll(before.values());
             lastGood.clear();
         }
-        for (Target target : targets) {
+        for (ListEntry target : targets) {
             if (target.state() == UpstreamState.GONE) {
                 lastGood.remove(target.uid());
             } else {
@@ -312,7 +312,7 @@
                 fail();
                 return;
             }
-            Listing listing = Listing.of(node);
+            UpstreamList listing = UpstreamList.of(node);
             rev = listing.rev();
             answered();
             listener.accept(listing.all() ? ListUpdateType.FULL : ListUpdateType.DELTA, remember(listing));
--- a/src/main/java/pondridge/sidecar/LoopTimes.java
+++ b/src/main/java/pondridge/sidecar/EventLoopMonitor.java
@@ -14,7 +14,7 @@
  * Tells for how long bytes may have lain unread because the event loop was busy: a client's time runs from
  * its sending, not from the reading. Wraps the loop's selector to see when a turn begins and ends.
  */
-final class LoopTimes {
+final class EventLoopMonitor {
     /** A turn that took longer than this to its first event has waited for it in the selector. */
     private static final long BLOCKED_NS = 1_000_000;
 
--- a/src/main/java/pondridge/sidecar/BadEnds.java
+++ b/src/main/java/pondridge/sidecar/FailedRequestLog.java
@@ -9,20 +9,20 @@
  * One line in the log for each request that ended badly, by its id. In trouble these are most requests: so
  * many lines a second are written and no more, and the next one says how many were left out.
  */
-final class BadEnds {
+final class FailedRequestLog {
     private static final int MOST_A_SECOND = 20;
     private static final long SECOND = 1_000_000_000;
     private static final long MS = 1_000_000;
     private static final int LONGEST_WORD = 64;
 
     /** One attempt, told to operators by the name that every sidecar has for the upstream. */
-    static final class Try {
+    static final class AttemptLogEntry {
         private final String upstream;
         private final long sentAt;
         private Outcome outcome;
         private long took;
 
-        Try(String upstream, long sentAt) {
+        AttemptLogEntry(String upstream, long sentAt) {
             this.upstream = upstream;
             this.sentAt = sentAt;
         }
@@ -47,7 +47,7 @@
     private int written;
     private long leftOut;
 
-    BadEnds(PrintStream out) {
+    FailedRequestLog(PrintStream out) {
         this.out = out;
     }
 
@@ -67,7 +67,8 @@
         leftOut = 0;
     }
 
-    static String line(String id, String kind, String end, String reason, long after, List<Try> tries) {
+    static String line(String id, String kind, String end, String reason, long after,
+            List<AttemptLogEntry> tries) {
         return cut(id) + " " + cut(kind) + " " + end + " " + reason + " after " + after / MS + " ms, tries "
                 + tries;
     }
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -19,8 +19,8 @@
     /** Over the number that may stay, this part more gets an answer that refuses it. */
     private static final int REFUSED_PART = 8;
 
-    private final Engine engine;
-    private final LoopTimes times;
+    private final RequestDispatcher dispatcher;
+    private final EventLoopMonitor times;
     private final RequestParser parser;
     private final int mostConnections;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -29,8 +29,9 @@
     private boolean draining;
     private boolean finishing;
 
-    Frontend(Engine engine, LoopTimes times, SettingsReader settingsReader, int mostConnections) {
-        this.engine = engine;
+    Frontend(RequestDispatcher dispatcher, EventLoopMonitor times, SettingsReader settingsReader,
+            int mostConnections) {
+        this.dispatcher = dispatcher;
         this.times = times;
         this.parser = new RequestParser(settingsReader);
         this.mostConnections = mostConnections;
@@ -55,13 +56,13 @@
             return false;
         }
         RequestDecoder decoder = new RequestDecoder();
-        ClientConnection connection = new ClientConnection(this, engine, made, decoder,
+        ClientConnection connection = new ClientConnection(this, dispatcher, made, decoder,
                 connections.size() >= mostConnections, Math.max(waited, times.unread(System.nanoTime())));
         made.pipeline().addLast(decoder, new HttpResponseEncoder(), new RequestAggregator(), connection);
         return true;
     }
 
-    LoopTimes times() {
+    EventLoopMonitor times() {
         return times;
     }
 
--- a/src/main/java/pondridge/sidecar/Shutdown.java
+++ b/src/main/java/pondridge/sidecar/GracefulShutdown.java
@@ -8,7 +8,7 @@
  * The orderly end at SIGTERM: what is held is answered, connections end with their last answers, and the
  * process ends once nothing is left, at the latest before the earliest SIGKILL.
  */
-final class Shutdown {
+final class GracefulShutdown {
     /** New connections go on coming for up to 0.4 s after SIGTERM (protocol page). */
     private static final long ACCEPT_MS = 500;
     /** The platform counts longer deadlines as this. */
@@ -21,15 +21,16 @@
     private static final long POLL_MS = 20;
 
     private final EventLoop loop;
-    private final Engine engine;
+    private final RequestDispatcher dispatcher;
     private final Frontend frontend;
     private final long killAfterMs;
     private final CountDownLatch done = new CountDownLatch(1);
 
     /** An end that is yet to come; {@code longestDeadlineMs} is that of all classes. */
-    Shutdown(EventLoop loop, Engine engine, Frontend frontend, long longestDeadlineMs) {
+    GracefulShutdown(EventLoop loop, RequestDispatcher dispatcher, Frontend frontend,
+            long longestDeadlineMs) {
         this.loop = loop;
-        this.engine = engine;
+        this.dispatcher = dispatcher;
         this.frontend = frontend;
         this.killAfterMs = Math.min(longestDeadlineMs, LONGEST_COUNTED_MS) + KILL_SPARE_MS;
     }
@@ -58,7 +59,7 @@
         loop.schedule(frontend::close, ACCEPT_MS, TimeUnit.MILLISECONDS);
         loop.schedule(frontend::finish, killAfterMs - FINISH_BEFORE_KILL_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(() -> {
-            if (frontend.empty() && engine.idle()) {
+            if (frontend.empty() && dispatcher.idle()) {
                 // What still gets in before the process has ended is refused, and not begun.
                 frontend.finish();
                 done.countDown();
--- a/src/main/java/pondridge/sidecar/Headers.java
+++ b/src/main/java/pondridge/sidecar/HeaderFilter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Which headers go on through the sidecar. */
-final class Headers {
+final class HeaderFilter {
     /** They speak of one connection, or tell the sidecar what is not for the application. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(HttpHeaderNames.CONNECTION,
             "Proxy-Connection", "Keep-Alive", HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
@@ -13,7 +13,7 @@
             HttpHeaderNames.PROXY_AUTHENTICATE, HttpHeaderNames.PROXY_AUTHORIZATION, "Srv-Load",
             "Srv-Declined");
 
-    private Headers() { }
+    private HeaderFilter() { }
 
     /** Copies all but the headers of one hop, and of those also what {@code Connection} names. */
     static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
--- a/src/main/java/pondridge/sidecar/Retry.java
+++ b/src/main/java/pondridge/sidecar/IoRetry.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** Repeats what may fail on this machine for a moment; never on the event loop, since it waits. */
-final class Retry {
+final class IoRetry {
     private static final long PAUSE_MS = 50;
 
     /** What is to be done. */
@@ -11,7 +11,7 @@
         T run() throws IOException;
     }
 
-    private Retry() { }
+    private IoRetry() { }
 
     /**
      * Runs an attempt until it does not fail with an IOException, for a limited time.
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -19,7 +19,7 @@
     private static final long LISTEN_RETRY_MS = 50;
     /** How long the end of the process may wait for the log. */
     private static final long LAST_LINES_MS = 50;
-    private static final LogStream LOG = LogStream.install();
+    private static final AsyncLogStream LOG = AsyncLogStream.install();
 
     private Main() { }
 
@@ -35,13 +35,13 @@
             if (file == null) {
                 throw new IllegalArgumentException("not set: PROXY_CONFIG");
             }
-            config = Retry.whileInputFails(START_LIMIT_MS, () -> Config.read(Path.of(file)));
+            config = IoRetry.whileInputFails(START_LIMIT_MS, () -> Config.read(Path.of(file)));
         } catch (RuntimeException | IOException e) {
             System.err.println("pondridge: configuration: " + e.getMessage());
             halt(2);
             return;
         }
-        LoopTimes times = new LoopTimes();
+        EventLoopMonitor times = new EventLoopMonitor();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, times.watching(NioIoHandler.newFactory())).next();
         boolean rehearsal = args.length == 1 && args[0].equals("rehearse");
         loop.execute(() -> {
@@ -64,15 +64,16 @@
         Runtime.getRuntime().halt(status);
     }
 
-    private static void start(EventLoop loop, LoopTimes times, Config config, Path file,
+    private static void start(EventLoop loop, EventLoopMonitor times, Config config, Path file,
             boolean rehearsal) {
-        Engine engine = new Engine(loop, config, config.sockets() / 2);
-        Frontend frontend = new Frontend(engine, times, config.settingsReader(), config.sockets() * 3 / 8);
-        engine.start(config.known());
-        Hangup.handle(new Reload(loop, file, engine));
+        RequestDispatcher dispatcher = new RequestDispatcher(loop, config, config.sockets() / 2);
+        Frontend frontend = new Frontend(dispatcher, times, config.settingsReader(),
+                config.sockets() * 3 / 8);
+        dispatcher.start(config.known());
+        SighupHandler.handle(new ConfigReloader(loop, file, dispatcher));
         long giveUpAt = System.nanoTime() + START_LIMIT_MS * 1_000_000;
         listen(loop, config, frontend, giveUpAt, address -> {
-            endAtSigterm(loop, config, engine, frontend);
+            endAtSigterm(loop, config, dispatcher, frontend);
             WarmUp.run(loop, config.settingsReader(), address,
                     rehearsal ? Main::end : () -> ready(config, frontend), e -> fail("warm-up: " + e));
         });
@@ -114,10 +115,11 @@
     }
 
     /** The hook holds the process until all is answered, or SIGKILL is near. */
-    private static void endAtSigterm(EventLoop loop, Config config, Engine engine, Frontend frontend) {
+    private static void endAtSigterm(EventLoop loop, Config config, RequestDispatcher dispatcher,
+            Frontend frontend) {
         long longest = config.settingsReader().settings().classes().stream()
                 .mapToLong(RequestClass::deadline).max().orElse(0) / 1_000_000;
-        Shutdown shutdown = new Shutdown(loop, engine, frontend, longest);
+        GracefulShutdown shutdown = new GracefulShutdown(loop, dispatcher, frontend, longest);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 shutdown.run();
--- a/src/main/java/pondridge/sidecar/Peers.java
+++ b/src/main/java/pondridge/sidecar/PeerMessenger.java
@@ -18,7 +18,7 @@
 import pondridge.Balancer.Actions;
 
 /** Messages to and from the other sidecars, as datagrams that may be late or lost. */
-final class Peers {
+final class PeerMessenger {
     /** One byte more than a message may have, so that a longer one is seen to be. */
     private static final int MOST_READ = 257;
     private static final long RETRY_MS = 500;
@@ -40,7 +40,7 @@
     private Channel channel;
     private long failures;
 
-    Peers(Addresses addresses, Listener listener) {
+    PeerMessenger(Addresses addresses, Listener listener) {
         this.addresses = addresses;
         this.listener = listener;
         for (int i = 0; i < addresses.each().size(); i++) {
--- a/src/main/java/pondridge/sidecar/Engine.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -35,7 +35,7 @@
  * The only caller of the module: tells it events one after the other, on the event loop, and carries out what
  * it orders. Whatever module and upstreams do, a request gets one final answer and a send one outcome.
  */
-final class Engine implements Balancer.Actions {
+final class RequestDispatcher implements Balancer.Actions {
     /** What of a client's wait is kept for the answer's way back, beside what the loop's stalls may take. */
     private static final long ANSWER_ROOM = 10_000_000;
     /** No more than this part of a client's wait is kept back for stalls. */
@@ -50,7 +50,7 @@
      * @param waited nanoseconds that it has waited for its turn since it was read
      * @param waitMs how long the client waits in all, in milliseconds
      */
-    record Job(int requestClass, int tenant, long key, long waited, long waitMs, long costHint,
+    record ClientRequest(int requestClass, int tenant, long key, long waited, long waitMs, long costHint,
             boolean clientRetry, HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
         String id() {
             return headers.get("Req-Id");
@@ -62,14 +62,14 @@
     }
 
     /** What an upstream answered. */
-    record Answer(HttpHeaders headers, byte[] body) { }
+    record UpstreamResponse(HttpHeaders headers, byte[] body) { }
 
     /** Takes a request's one final answer. */
-    interface Client {
+    interface ClientCallback {
         /** Whether the client is still connected. */
         boolean present();
 
-        void served(Answer answer);
+        void served(UpstreamResponse answer);
 
         /** Refused: trying again is harmless, best after {@code wait} nanoseconds where that is not 0. */
         void refused(long wait);
@@ -78,20 +78,20 @@
     }
 
     private static final class Call {
-        private final Job job;
-        private final Client client;
+        private final ClientRequest clientRequest;
+        private final ClientCallback client;
         private final RequestClass kind;
         private long deadline;
-        private final List<Upstreams.Attempt> attempts = new ArrayList<>(1);
-        private final List<BadEnds.Try> tries = new ArrayList<>(1);
+        private final List<UpstreamClient.Attempt> attempts = new ArrayList<>(1);
+        private final List<FailedRequestLog.AttemptLogEntry> tries = new ArrayList<>(1);
         private long takenAt;
         private int out;
         private boolean over;
         /** Whether an attempt was written whole and did not prove that it had not run. */
         private boolean mayHaveRun;
 
-        Call(Job job, Client client, RequestClass kind) {
-            this.job = job;
+        Call(ClientRequest clientRequest, ClientCallback client, RequestClass kind) {
+            this.clientRequest = clientRequest;
             this.client = client;
             this.kind = kind;
         }
@@ -103,29 +103,29 @@
 
     private final EventLoop loop;
     private final Balancer rules;
-    private final Stalls stalls = new Stalls();
+    private final StallEstimator stalls = new StallEstimator();
     private final LifecycleGuard guard;
     private final List<RequestClass> classes;
     private final int tryLimit;
     private final int mostOpen;
     private final boolean automatic;
-    private final Upstreams upstreams;
-    private final Discovery discovery;
-    private final Peers peers;
-    private final BadEnds badEnds = new BadEnds(System.err);
+    private final UpstreamClient upstreamClient;
+    private final DiscoveryClient discoveryClient;
+    private final PeerMessenger peerMessenger;
+    private final FailedRequestLog failedRequestLog = new FailedRequestLog(System.err);
     private final Map<Long, Call> calls = new HashMap<>();
     /** Of what the list names, by the id that the module knows it by. */
     private final Map<Long, String> upstreamNames = new HashMap<>();
     private final Map<String, Integer> zones = new HashMap<>();
     private final Map<String, Integer> kinds = new HashMap<>();
     private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
-    private final StartTimes startTimes = new StartTimes();
+    private final StartTimeConverter startTimeConverter = new StartTimeConverter();
     /** The sidecar's clock begins far from 0, so that starts before its own have a time on it, too. */
     private final long clockOffset = TimeUnit.DAYS.toNanos(DAYS_BEFORE_START) - System.nanoTime();
     private boolean telling;
     private long lastId;
 
-    Engine(EventLoop loop, Config config, int mostOpen) {
+    RequestDispatcher(EventLoop loop, Config config, int mostOpen) {
         Balancer.Settings settings = config.settingsReader().settings();
         this.loop = loop;
         this.guard = new LifecycleGuard(loop);
@@ -134,35 +134,35 @@
         this.tryLimit = settings.capabilities().maxAttempts();
         this.mostOpen = mostOpen;
         this.automatic = settings.discovery() == Balancer.DiscoveryMode.AUTOMATIC;
-        this.upstreams = new Upstreams(loop, config.settingsReader(), config.sockets() / 2);
-        this.discovery = new Discovery(loop, config.discovery(), config.known(), this::listed);
-        this.peers = new Peers(config.peers(), (from, message) ->
+        this.upstreamClient = new UpstreamClient(loop, config.settingsReader(), config.sockets() / 2);
+        this.discoveryClient = new DiscoveryClient(loop, config.discovery(), config.known(), this::listed);
+        this.peerMessenger = new PeerMessenger(config.peers(), (from, message) ->
                 tell(now -> rules.peerMessageReceived(now, from, message)));
         config.settingsReader().list("zones").forEach(zone -> number(zones, zone));
         config.settingsReader().list("kinds").forEach(kind -> number(kinds, kind));
     }
 
     /** Begins with the cached list; on the loop, like all that follows. */
-    void start(Discovery.Listing known) {
+    void start(DiscoveryClient.UpstreamList known) {
         readClocks();
         tell(rules::start);
         listed(ListUpdateType.CACHED, known.targets());
         if (automatic) {
-            discovery.follow();
+            discoveryClient.follow();
         }
-        peers.listen(loop);
+        peerMessenger.listen(loop);
         loop.scheduleWithFixedDelay(this::logState, STATE_S, STATE_S, TimeUnit.SECONDS);
         loop.scheduleWithFixedDelay(this::readClocks, CLOCK_READING_MS, CLOCK_READING_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     private void readClocks() {
-        startTimes.observe(now(), System.currentTimeMillis());
+        startTimeConverter.observe(now(), System.currentTimeMillis());
     }
 
     private void logState() {
         long now = now();
-        System.err.println("state: " + held() + " requests open, " + upstreams.open()
+        System.err.println("state: " + held() + " requests open, " + upstreamClient.open()
                 + " connections to upstreams, stalls up to " + stalls.recent(now) / 1_000_000 + " ms; guard: "
                 + guard + "; " + rules.describeState(now));
     }
@@ -173,10 +173,12 @@
 
     /** Discovery is at another address from now on. */
     void discoveryMoved(InetSocketAddress address) {
-        discovery.move(address);
+        discoveryClient.move(address);
     }
 
-    /** Nanoseconds on a clock that never steps and that {@link StartTimes} brings the list's times to. */
+    /**
+     * Nanoseconds on a clock that never steps and that {@link StartTimeConverter} brings the list's times to.
+     */
     private long now() {
         return System.nanoTime() + clockOffset;
     }
@@ -218,50 +220,51 @@
         return hash;
     }
 
-    private void listed(ListUpdateType kind, List<Discovery.Target> targets) {
+    private void listed(ListUpdateType kind, List<DiscoveryClient.ListEntry> targets) {
         readClocks();
         tell(now -> {
             List<Upstream> entries = new ArrayList<>(targets.size());
             Set<Long> missing = new LinkedHashSet<>(
                     kind == ListUpdateType.FULL ? upstreamNames.keySet() : Set.<Long>of());
-            for (Discovery.Target target : targets) {
+            for (DiscoveryClient.ListEntry target : targets) {
                 long id = id(target.uid());
                 missing.remove(id);
                 upstreamNames.put(id, target.uid());
                 entries.add(new Upstream(id, number(zones, target.zone()), number(kinds, target.kind()),
                         target.cell(), target.state(), target.weight(),
-                        startTimes.startedAt(id, target.startedMs(), now)));
+                        startTimeConverter.startedAt(id, target.startedMs(), now)));
                 if (target.state() == UpstreamState.GONE) {
                     missing.add(id);
                 } else {
-                    upstreams.listed(id, target.endpoint(), target.startedMs(),
+                    upstreamClient.listed(id, target.endpoint(), target.startedMs(),
                             target.state() == UpstreamState.READY);
                 }
             }
-            missing.forEach(upstreams::gone);
+            missing.forEach(upstreamClient::gone);
             rules.listUpdated(now, kind, entries);
             upstreamNames.keySet().removeAll(missing);
-            startTimes.forget(missing);
+            startTimeConverter.forget(missing);
         });
     }
 
     /** Takes a request; returns the number under which {@link #hangup} knows it. */
-    long submit(Job job, Client client) {
+    long submit(ClientRequest clientRequest, ClientCallback client) {
         if (calls.size() >= mostOpen) {
-            turnedAway(job.headers());
+            turnedAway(clientRequest.headers());
             client.refused(0);
             return 0;
         }
-        long whole = Math.max(1, job.waitMs() * 1_000_000 - ANSWER_ROOM);
-        long left = whole - job.waited();
+        long whole = Math.max(1, clientRequest.waitMs() * 1_000_000 - ANSWER_ROOM);
+        long left = whole - clientRequest.waited();
         if (left <= 0) {
-            badEnds.add(now(), () -> BadEnds.line(job.id(), job.kindName(), "refused", "WAITED_TOO_LONG",
-                    job.waited(), List.of()));
+            failedRequestLog.add(now(), () -> FailedRequestLog.line(clientRequest.id(),
+                    clientRequest.kindName(), "refused", "WAITED_TOO_LONG", clientRequest.waited(),
+                    List.of()));
             client.refused(0);
             return 0;
         }
         long id = ++lastId;
-        Call call = new Call(job, client, classes.get(job.requestClass()));
+        Call call = new Call(clientRequest, client, classes.get(clientRequest.requestClass()));
         call.takenAt = now();
         calls.put(id, call);
         // The client's time has run since it sent: a stall may have kept the request unread, and another
@@ -274,9 +277,10 @@
         tell(now -> {
             call.deadline = now + left - reserve;
             // The whole time tells a client's first try from a later one, so the waiting is not taken off it.
-            rules.requestArrived(now, new Request(id, job.requestClass(), job.tenant(), job.key(), whole,
-                    reserve + job.waited(), job.costHint(), job.clientRetry(),
-                    !job.method().equals(HttpMethod.GET)));
+            rules.requestArrived(now, new Request(id, clientRequest.requestClass(), clientRequest.tenant(),
+                    clientRequest.key(), whole, reserve + clientRequest.waited(),
+                    clientRequest.costHint(), clientRequest.clientRetry(),
+                    !clientRequest.method().equals(HttpMethod.GET)));
         });
         return id;
     }
@@ -302,7 +306,8 @@
         if (call.over) {
             return;
         }
-        boolean harmless = !call.mayHaveRun && call.attempts.stream().allMatch(Engine::neverWritten);
+        boolean harmless = !call.mayHaveRun && call.attempts.stream()
+                .allMatch(RequestDispatcher::neverWritten);
         if (harmless) {
             endBadly(id, call, "refused", reason, () -> call.client.refused(0));
         } else {
@@ -311,7 +316,7 @@
         tell(now -> rules.clientDisconnected(now, id));
     }
 
-    private static boolean neverWritten(Upstreams.Attempt attempt) {
+    private static boolean neverWritten(UpstreamClient.Attempt attempt) {
         return attempt == null || !attempt.written();
     }
 
@@ -325,17 +330,17 @@
         return calls.values().stream().allMatch(call -> call.over);
     }
 
-    /** The frontend or the engine has no room for a request and has refused it unread. */
+    /** The frontend or the dispatcher has no room for a request and has refused it unread. */
     void turnedAway(HttpHeaders headers) {
-        badEnds.add(now(), () -> BadEnds.line(headers.get("Req-Id"), headers.get("Req-Kind"), "refused",
-                "NO_ROOM", 0, List.of()));
+        failedRequestLog.add(now(), () -> FailedRequestLog.line(headers.get("Req-Id"),
+                headers.get("Req-Kind"), "refused", "NO_ROOM", 0, List.of()));
     }
 
     private void endBadly(long id, Call call, String end, String reason, Runnable answer) {
         if (!call.over) {
             long now = now();
-            badEnds.add(now, () -> BadEnds.line(call.job.id(), call.job.kindName(), end, reason,
-                    now - call.takenAt, call.tries));
+            failedRequestLog.add(now, () -> FailedRequestLog.line(call.clientRequest.id(),
+                    call.clientRequest.kindName(), end, reason, now - call.takenAt, call.tries));
         }
         finish(id, call, answer);
     }
@@ -345,11 +350,12 @@
             return;
         }
         call.over = true;
-        long waited = now() - call.takenAt + call.job.waited();
-        guard.checkAnswerTime(waited - call.job.waitMs() * 1_000_000, call.job.id());
+        long waited = now() - call.takenAt + call.clientRequest.waited();
+        guard.checkAnswerTime(waited - call.clientRequest.waitMs() * 1_000_000, call.clientRequest.id());
         answer.run();
         // An attempt that waits for its connection would be written for a request that has ended.
-        new ArrayList<>(call.attempts).stream().filter(Objects::nonNull).forEach(Upstreams.Attempt::withdraw);
+        new ArrayList<>(call.attempts).stream().filter(Objects::nonNull)
+                .forEach(UpstreamClient.Attempt::withdraw);
         forget(id, call);
     }
 
@@ -369,7 +375,7 @@
         }
         int number = call.attempts.size();
         call.out++;
-        call.tries.add(new BadEnds.Try(upstreamNames.get(upstream), now));
+        call.tries.add(new FailedRequestLog.AttemptLogEntry(upstreamNames.get(upstream), now));
         boolean allowed = guard.maySend(!call.over && call.client.present(), now < call.deadline)
                 && (number == 0 || guard.mayRepeat(number < tryLimit, call.mayRepeat()));
         if (!allowed) {
@@ -382,28 +388,29 @@
             wait = Math.min(wait, timeout);
         }
         call.attempts.add(null);
-        call.attempts.set(number, upstreams.send(upstream, left -> message(call.job, left), wait,
+        call.attempts.set(number, upstreamClient.send(upstream,
+                left -> message(call.clientRequest, left), wait,
                 (outcome, answer, load) ->
                         ended(request, call, number, upstream, now, outcome, answer, load)));
     }
 
-    private static FullHttpRequest message(Job job, long timeLeft) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, job.method(), job.uri(),
-                Unpooled.wrappedBuffer(job.body()));
-        Headers.copyEndToEnd(job.headers(), request.headers());
+    private static FullHttpRequest message(ClientRequest clientRequest, long timeLeft) {
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, clientRequest.method(),
+                clientRequest.uri(), Unpooled.wrappedBuffer(clientRequest.body()));
+        HeaderFilter.copyEndToEnd(clientRequest.headers(), request.headers());
         request.headers().set("Req-Deadline-Ms", Math.max(1, timeLeft / 1_000_000));
-        if (!job.method().equals(HttpMethod.GET) || job.body().length > 0) {
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, job.body().length);
+        if (!clientRequest.method().equals(HttpMethod.GET) || clientRequest.body().length > 0) {
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, clientRequest.body().length);
         }
         return request;
     }
 
     /** Told behind all that the loop reads in this turn: the client's close may be among it. */
     private void ended(long id, Call call, int number, long upstream, long sentAt, Outcome outcome,
-            Answer answer, float[] load) {
+            UpstreamResponse answer, float[] load) {
         loop.execute(() -> tell(now -> {
             if (call.tries.get(number).hasEnded()) {
-                guard.report(LifecycleGuard.Violation.ENDED_TWICE, call.job.id() + " " + outcome);
+                guard.report(LifecycleGuard.Violation.ENDED_TWICE, call.clientRequest.id() + " " + outcome);
                 return;
             }
             call.out--;
@@ -450,18 +457,18 @@
     @Override
     public void probe(long upstream) {
         long sentAt = now();
-        upstreams.probe(upstream, (outcome, answer, load) -> tell(now ->
+        upstreamClient.probe(upstream, (outcome, answer, load) -> tell(now ->
                 rules.probeResult(now, upstream, outcome, now - sentAt, load)));
     }
 
     @Override
     public void closeIdleConnections(long upstream) {
-        upstreams.closeIdle(upstream);
+        upstreamClient.closeIdle(upstream);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        peers.send(peer, message);
+        peerMessenger.send(peer, message);
     }
 
     @Override
@@ -471,11 +478,11 @@
 
     @Override
     public void subscribe(boolean on) {
-        discovery.watch(on);
+        discoveryClient.watch(on);
     }
 
     @Override
     public void fetchList() {
-        discovery.fetch();
+        discoveryClient.fetch();
     }
 }
--- a/src/main/java/pondridge/sidecar/RequestParser.java
+++ b/src/main/java/pondridge/sidecar/RequestParser.java
@@ -32,12 +32,12 @@
     }
 
     /**
-     * The request as the engine takes it.
+     * The request as the dispatcher takes it.
      *
      * @param waited for how many nanoseconds it has waited for its turn; the client's time ran meanwhile
      * @throws IllegalArgumentException naming what does not fit the protocol
      */
-    Engine.Job parse(FullHttpRequest message, long waited) {
+    RequestDispatcher.ClientRequest parse(FullHttpRequest message, long waited) {
         header(message, "Req-Id");
         int kind = classNames.indexOf(header(message, "Req-Kind"));
         if (kind < 0) {
@@ -58,7 +58,7 @@
         }
         boolean hinted = message.headers().contains("Req-Cost");
         long costHint = hinted ? number(message, "Req-Cost") * MICROS_TO_NANOS : 0;
-        return new Engine.Job(kind, tenant, key(path(message)), waited,
+        return new RequestDispatcher.ClientRequest(kind, tenant, key(path(message)), waited,
                 number(message, "Req-Deadline-Ms"), costHint, "1".equals(message.headers().get("Req-Retry")),
                 method, message.uri(), message.headers(), ByteBufUtil.getBytes(message.content()));
     }
--- a/src/main/java/pondridge/sidecar/Responses.java
+++ b/src/main/java/pondridge/sidecar/Responses.java
@@ -27,10 +27,10 @@
     }
 
     /** An upstream's answer. */
-    static FullHttpResponse served(Engine.Answer answer) {
+    static FullHttpResponse served(RequestDispatcher.UpstreamResponse answer) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
                 Unpooled.wrappedBuffer(answer.body()));
-        Headers.copyEndToEnd(answer.headers(), response.headers());
+        HeaderFilter.copyEndToEnd(answer.headers(), response.headers());
         return response;
     }
 
--- a/src/main/java/pondridge/sidecar/StreamChannel.java
+++ b/src/main/java/pondridge/sidecar/RetryingSocketChannel.java
@@ -12,7 +12,7 @@
  * A TCP connection that outlives reads and writes which fail for a moment. Netty takes an interrupted read
  * for the connection's end, and any failed call for its loss.
  */
-final class StreamChannel extends NioSocketChannel {
+final class RetryingSocketChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
     private static final long RETRY_MS = 2;
     /** What goes on failing for so long is no passing fault. */
@@ -23,11 +23,11 @@
     private long writeFaultSince;
 
     /** A connection yet to be made. */
-    StreamChannel() {
+    RetryingSocketChannel() {
     }
 
     /** A connection that a listener has accepted. */
-    StreamChannel(Channel parent, SocketChannel socket) {
+    RetryingSocketChannel(Channel parent, SocketChannel socket) {
         super(parent, socket);
     }
 
@@ -68,7 +68,7 @@
         if (writeFaultSince == 0) {
             writeFaultSince = now;
         }
-        if (SocketFaults.endsConnection(fault) || now - writeFaultSince > LONGEST_FAULT_NS) {
+        if (SocketErrors.endsConnection(fault) || now - writeFaultSince > LONGEST_FAULT_NS) {
             throw fault;
         }
         eventLoop().schedule(() -> {
@@ -82,7 +82,7 @@
             readFaultSince = now;
         }
         readFault = fault;
-        if (SocketFaults.endsConnection(fault) || now - readFaultSince > LONGEST_FAULT_NS) {
+        if (SocketErrors.endsConnection(fault) || now - readFaultSince > LONGEST_FAULT_NS) {
             throw fault;
         }
         config().setAutoRead(false);
--- a/src/main/java/pondridge/sidecar/ListenChannel.java
+++ b/src/main/java/pondridge/sidecar/ServerChannel.java
@@ -5,8 +5,8 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listener whose connections are {@link StreamChannel}s. */
-final class ListenChannel extends NioServerSocketChannel {
+/** A listener whose connections are {@link RetryingSocketChannel}s. */
+final class ServerChannel extends NioServerSocketChannel {
     private static final int MOST_READS = 16;
 
     @Override
@@ -16,7 +16,7 @@
             return 0;
         }
         try {
-            StreamChannel connection = new StreamChannel(this, socket);
+            RetryingSocketChannel connection = new RetryingSocketChannel(this, socket);
             // Reads until nothing more is there, so that a close right behind a request is seen with it.
             AdaptiveRecvByteBufAllocator buffers = new AdaptiveRecvByteBufAllocator();
             buffers.maxMessagesPerRead(MOST_READS);
--- a/src/main/java/pondridge/sidecar/Hangup.java
+++ b/src/main/java/pondridge/sidecar/SighupHandler.java
@@ -7,8 +7,8 @@
  * What SIGHUP does. Java names signals only in {@code sun.misc}, which compiles with a warning that can't be
  * turned off; looked up at run time it is the same class.
  */
-final class Hangup {
-    private Hangup() { }
+final class SighupHandler {
+    private SighupHandler() { }
 
     /** Runs {@code action} at each SIGHUP, on a thread of the JVM's own, instead of ending the process. */
     static void handle(Runnable action) {
@@ -32,7 +32,7 @@
             }
             case "equals" -> proxy == arguments[0];
             case "hashCode" -> System.identityHashCode(proxy);
-            default -> "Hangup";
+            default -> "SighupHandler";
         };
     }
 }
--- a/src/main/java/pondridge/sidecar/SocketFaults.java
+++ b/src/main/java/pondridge/sidecar/SocketErrors.java
@@ -4,8 +4,8 @@
 import java.nio.channels.ClosedChannelException;
 
 /** Tells what a failed call on a TCP connection means. */
-final class SocketFaults {
-    private SocketFaults() { }
+final class SocketErrors {
+    private SocketErrors() { }
 
     /**
      * Whether the connection is known to be gone. Everything else may pass (a lack of buffers or memory), or
--- a/src/main/java/pondridge/sidecar/Stalls.java
+++ b/src/main/java/pondridge/sidecar/StallEstimator.java
@@ -3,7 +3,7 @@
 /**
  * How long the loop has lately been busy in one go: as long may bytes have lain unread, or answers unwritten.
  */
-final class Stalls {
+final class StallEstimator {
     /** A program just started is still being compiled: first requests meet stalls that none has shown yet. */
     private static final long FIRST = 50_000_000;
     /** A stall counts by half after this time. */
--- a/src/main/java/pondridge/sidecar/StartTimes.java
+++ b/src/main/java/pondridge/sidecar/StartTimeConverter.java
@@ -12,7 +12,7 @@
  * made: of all offsets between the two clocks that were seen, the one counts that makes the upstream
  * youngest, since one taken for cold too long costs less than one that is flooded.
  */
-final class StartTimes {
+final class StartTimeConverter {
     private static final long NANOS_PER_MS = 1_000_000;
     /** Differences up to this are the reading's own, not a step. */
     private static final long STEP_NS = 200 * NANOS_PER_MS;
--- a/src/main/java/pondridge/sidecar/Upstreams.java
+++ b/src/main/java/pondridge/sidecar/UpstreamClient.java
@@ -36,7 +36,7 @@
  * Connections to upstreams and the attempts on them. An attempt is written once, on one connection, and ends
  * with one outcome; nothing is sent again from here.
  */
-final class Upstreams {
+final class UpstreamClient {
     /** A body's 64 KiB and no more, so that answers can't fill the memory. */
     private static final int LARGEST_ANSWER = 1 << 16;
     private static final long PROBE_TIMEOUT = 250_000_000;
@@ -54,7 +54,7 @@
 
     /** How an attempt ended; {@code answer} is there for {@link Outcome#OK} alone. */
     interface Listener {
-        void ended(Outcome outcome, Engine.Answer answer, float[] load);
+        void ended(Outcome outcome, RequestDispatcher.UpstreamResponse answer, float[] load);
     }
 
     private final EventLoop loop;
@@ -69,12 +69,12 @@
     private final long restNs;
     private int connections;
 
-    Upstreams(EventLoop loop, SettingsReader settingsReader, int mostConnections) {
+    UpstreamClient(EventLoop loop, SettingsReader settingsReader, int mostConnections) {
         this(loop, settingsReader, mostConnections, SURPLUS_REST_MS * 1_000_000);
     }
 
     /** Connections that answer truthfully need no rest between two requests. */
-    Upstreams(EventLoop loop, SettingsReader settingsReader, int mostConnections, long restNs) {
+    UpstreamClient(EventLoop loop, SettingsReader settingsReader, int mostConnections, long restNs) {
         this.loop = loop;
         this.restNs = restNs;
         int connectTimeoutMs = Math.max(1, (int) (settingsReader.number("caps.connectTimeout", 1e9) / 1e6));
@@ -273,7 +273,7 @@
             end(outcome, null, NO_REPORT);
         }
 
-        private void end(Outcome outcome, Engine.Answer answer, float[] load) {
+        private void end(Outcome outcome, RequestDispatcher.UpstreamResponse answer, float[] load) {
             over = true;
             timer.cancel(false);
             pool.unwritten.remove(this);
@@ -379,8 +379,9 @@
                 close();
             }
             Outcome outcome = outcome(response);
-            Engine.Answer answer = outcome == Outcome.OK ? new Engine.Answer(response.headers(),
-                    ByteBufUtil.getBytes(response.content())) : null;
+            RequestDispatcher.UpstreamResponse answer = outcome == Outcome.OK
+                    ? new RequestDispatcher.UpstreamResponse(response.headers(),
+                            ByteBufUtil.getBytes(response.content())) : null;
             float[] load = load(response, asksForLoad);
             ending = () -> attempt.end(outcome, answer, load);
         }
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -31,12 +31,12 @@
     private static final long LONGEST = 3_000_000_000L;
     private static final long STEP = 10_000_000;
 
-    private final Upstreams self;
+    private final UpstreamClient self;
     private final Runnable done;
     private final Consumer<Throwable> failed;
     private boolean over;
 
-    private WarmUp(Upstreams self, Runnable done, Consumer<Throwable> failed) {
+    private WarmUp(UpstreamClient self, Runnable done, Consumer<Throwable> failed) {
         this.self = self;
         this.done = done;
         this.failed = failed;
@@ -48,7 +48,7 @@
      */
     static void run(EventLoop loop, SettingsReader settingsReader, InetSocketAddress frontend, Runnable done,
             Consumer<Throwable> failed) {
-        Upstreams self = new Upstreams(loop, settingsReader, 1, 0);
+        UpstreamClient self = new UpstreamClient(loop, settingsReader, 1, 0);
         WarmUp warmUp = new WarmUp(self, done, failed);
         loop.schedule(warmUp::end, LONGEST, TimeUnit.NANOSECONDS);
         warmUp.attempt(() -> {
--- a/src/test/java/pondridge/sidecar/LogStreamTest.java
+++ b/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-class LogStreamTest {
+class AsyncLogStreamTest {
     private static final int MANY = 10_000;
 
     /** A write to a log that nobody read stopped the event loop; lines are dropped and counted instead. */
     @Test
     void theLoopStoodStillWhenNobodyReadTheLog() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        LogStream log = new LogStream(new OutputStream() {
+        AsyncLogStream log = new AsyncLogStream(new OutputStream() {
             @Override
             public void write(int next) throws IOException {
                 try {
@@ -39,7 +39,7 @@
     @Test
     void aFailedWriteLosesItsLineAlone() {
         ByteArrayOutputStream disk = new ByteArrayOutputStream();
-        LogStream log = new LogStream(new OutputStream() {
+        AsyncLogStream log = new AsyncLogStream(new OutputStream() {
             private boolean failed;
 
             @Override
@@ -59,7 +59,7 @@
         PrintStream err = new PrintStream(log, true, StandardCharsets.UTF_8);
         err.println("first");
         err.println("second");
-        log.awaitWritten(Stub.LIMIT_S * 1_000);
+        log.awaitWritten(FakeUpstream.LIMIT_S * 1_000);
         assertEquals("second\n", disk.toString(StandardCharsets.UTF_8));
         assertEquals(1, log.lost());
     }
--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/ConfigTest.java
@@ -16,7 +16,7 @@
 
     @Test
     void settingsReadAsOnTheSimulatorsWire() throws Exception {
-        Config config = Config.of(Bed.json());
+        Config config = Config.of(SidecarHarness.json());
         Settings settings = config.settingsReader().settings();
         assertEquals(List.of("rate", "q"), settings.reportFields());
         assertEquals(Semantics.ONCE, settings.classes().get(2).semantics());
@@ -31,17 +31,17 @@
     @Test
     void mistakesNameTheirKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
-            ObjectNode json = Bed.json();
+            ObjectNode json = SidecarHarness.json();
             json.remove(key);
             assertNames(key, json);
         }
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarHarness.json();
         json.withObject("/settings/rules").remove("rampTime");
         assertNames("rules.rampTime", json);
-        json = Bed.json();
+        json = SidecarHarness.json();
         json.withObject("/settings/caps").put("tryLimit", "many");
         assertNames("caps.tryLimit", json);
-        json = Bed.json();
+        json = SidecarHarness.json();
         json.withObject("/limits").put("sockets", 3);
         assertNames("limits.sockets", json);
     }
--- a/src/test/java/pondridge/sidecar/DeployedIT.java
+++ b/src/test/java/pondridge/sidecar/DeployedIT.java
@@ -44,7 +44,7 @@
     }
 
     private int exit() throws InterruptedException {
-        assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
+        assertTrue(process.waitFor(FakeUpstream.LIMIT_S, TimeUnit.SECONDS), "still running");
         return process.exitValue();
     }
 
@@ -56,7 +56,7 @@
 
     private void awaitUp(InetSocketAddress address) throws Exception {
         while (true) {
-            try (Bed.Client client = new Bed.Client(address)) {
+            try (SidecarHarness.Client client = new SidecarHarness.Client(address)) {
                 if (client.ask(UP).status() == 200) {
                     return;
                 }
@@ -69,7 +69,7 @@
 
     @Test
     void simStartsAndEndsWithItsInput() throws Exception {
-        start("sim", Bed.json());
+        start("sim", SidecarHarness.json());
         process.getOutputStream().close();
         assertEquals(0, exit());
     }
@@ -78,19 +78,21 @@
     @Test
     void runServesAndEndsInOrderAtSigterm() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (FakeUpstream upstream = new FakeUpstream((socket, head) -> {
             try {
-                return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "held");
+                return go.await(FakeUpstream.LIMIT_S, TimeUnit.SECONDS)
+                        && FakeUpstream.reply(socket, "200 OK", "", "held");
             } catch (InterruptedException e) {
                 return false;
             }
         })) {
             InetSocketAddress address = freeAddress();
-            start("run", Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
+            start("run", SidecarHarness.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
-            try (Bed.Client client = new Bed.Client(address); Bed.Client other = new Bed.Client(address)) {
-                Stub.write(client.socket, Bed.look("a"));
-                Stub.next(upstream.heads);
+            try (SidecarHarness.Client client = new SidecarHarness.Client(address);
+                    SidecarHarness.Client other = new SidecarHarness.Client(address)) {
+                FakeUpstream.write(client.socket, SidecarHarness.look("a"));
+                FakeUpstream.next(upstream.heads);
                 assertEquals(200, other.ask(UP).status());
                 process.destroy();
                 // The end has begun once /up says no, or closes, on a connection that was there before.
@@ -112,17 +114,18 @@
     /** At SIGHUP discovery is asked where the file now says; a file that is no good changes nothing. */
     @Test
     void runFollowsDiscoveryAtSighupAndKeepsTheLastGoodConfiguration() throws Exception {
-        Stub.Script watch = (socket, head) -> {
-            Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+        FakeUpstream.Script watch = (socket, head) -> {
+            FakeUpstream.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
             return true;
         };
-        try (Stub upstream = Stub.serving("x"); Stub before = new Stub(watch); Stub after = new Stub(watch)) {
+        try (FakeUpstream upstream = FakeUpstream.serving("x"); FakeUpstream before = new FakeUpstream(watch);
+                FakeUpstream after = new FakeUpstream(watch)) {
             InetSocketAddress address = freeAddress();
-            ObjectNode json = Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort())
+            ObjectNode json = SidecarHarness.json(upstream).put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", before.endpoint());
             start("run", json);
             awaitUp(address);
-            assertTrue(Stub.next(before.heads).contains("watch=1&from=41 "));
+            assertTrue(FakeUpstream.next(before.heads).contains("watch=1&from=41 "));
             Path file = folder.resolve("config.json");
             Files.writeString(file, "{");
             hangUp();
@@ -131,10 +134,10 @@
             assertTrue(line.contains("the last one holds"), line);
             Files.writeString(file, json.put("discovery", after.endpoint()).toString());
             hangUp();
-            assertTrue(Stub.next(after.heads).contains("watch=1&from=41 "));
-            Stub.next(before.ended);
-            try (Bed.Client client = new Bed.Client(address)) {
-                assertEquals("x", client.ask(Bed.look("a")).body());
+            assertTrue(FakeUpstream.next(after.heads).contains("watch=1&from=41 "));
+            FakeUpstream.next(before.ended);
+            try (SidecarHarness.Client client = new SidecarHarness.Client(address)) {
+                assertEquals("x", client.ask(SidecarHarness.look("a")).body());
             }
         }
     }
@@ -145,7 +148,7 @@
 
     @Test
     void badConfigurationEndsWithOneLineNamingTheKey() throws Exception {
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarHarness.json();
         json.withObject("/settings/rules").remove("rampTime");
         start("run", json);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/pondridge/sidecar/DiscoveryTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -17,12 +17,12 @@
 import pondridge.Balancer.UpstreamState;
 
 /** The list and its watch against a discovery that answers in awkward ways. */
-class DiscoveryTest {
+class DiscoveryClientTest {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String HALF_1 = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
     private static final String HALF_2 = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
-    private record Told(ListUpdateType kind, List<Discovery.Target> targets) { }
+    private record Told(ListUpdateType kind, List<DiscoveryClient.ListEntry> targets) { }
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -35,40 +35,41 @@
     }
 
     private static String entry(String state) {
-        return Bed.target("s-1", "127.0.0.1:9", state).toString();
+        return SidecarHarness.target("s-1", "127.0.0.1:9", state).toString();
     }
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private Discovery discovery(Stub stub) {
-        Discovery.Listing known = new Discovery.Listing(41, true, List.of(), Set.of());
-        return new Discovery(loop, stub.address(), known,
+    private DiscoveryClient discovery(FakeUpstream stub) {
+        DiscoveryClient.UpstreamList known = new DiscoveryClient.UpstreamList(41, true, List.of(), Set.of());
+        return new DiscoveryClient(loop, stub.address(), known,
                 (kind, targets) -> told.add(new Told(kind, targets)));
     }
 
     /** Lines come split over chunks and chunks hold several; an odd entry spoils none but itself. */
     @Test
     void watchIsReadLineByLineAndItsEndIsAFailure() throws Exception {
-        try (Stub stub = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
-            Stub.write(socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[]}\n"));
+        try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
+            FakeUpstream.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
+            FakeUpstream.write(socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[]}\n"));
             return false;
         })) {
-            Discovery discovery = discovery(stub);
-            loop.execute(() -> discovery.watch(true));
-            assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
-            assertEquals(new Told(ListUpdateType.DELTA, List.of()), Stub.next(told),
+            DiscoveryClient discoveryClient = discovery(stub);
+            loop.execute(() -> discoveryClient.watch(true));
+            assertTrue(FakeUpstream.next(stub.heads)
+                    .startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
+            assertEquals(new Told(ListUpdateType.DELTA, List.of()), FakeUpstream.next(told),
                     "an empty line: no news");
-            Told delta = Stub.next(told);
+            Told delta = FakeUpstream.next(told);
             assertEquals(ListUpdateType.DELTA, delta.kind);
             assertEquals(List.of(UpstreamState.DRAINING),
-                    delta.targets.stream().map(Discovery.Target::state).toList());
-            assertEquals(new Told(ListUpdateType.FULL, List.of()), Stub.next(told));
-            assertEquals(new Told(ListUpdateType.FAILED, List.of()), Stub.next(told));
-            loop.execute(() -> discovery.watch(true));
-            assertTrue(Stub.next(stub.heads).contains("from=44 "), "goes on from the last version");
+                    delta.targets.stream().map(DiscoveryClient.ListEntry::state).toList());
+            assertEquals(new Told(ListUpdateType.FULL, List.of()), FakeUpstream.next(told));
+            assertEquals(new Told(ListUpdateType.FAILED, List.of()), FakeUpstream.next(told));
+            loop.execute(() -> discoveryClient.watch(true));
+            assertTrue(FakeUpstream.next(stub.heads).contains("from=44 "), "goes on from the last version");
         }
     }
 
@@ -78,15 +79,15 @@
         for (String reply : List.of("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "", "nonsense\r\n\r\n",
                 CHUNKED + chunk("{\"rev\":\n"), CHUNKED + chunk("[]\n"),
                 CHUNKED + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
-            try (Stub stub = new Stub((socket, head) -> {
-                Stub.write(socket, reply);
+            try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
+                FakeUpstream.write(socket, reply);
                 return false;
             })) {
-                Discovery discovery = discovery(stub);
-                loop.execute(() -> discovery.watch(true));
-                assertEquals(ListUpdateType.FAILED, Stub.next(told).kind, reply);
-                loop.execute(discovery::fetch);
-                assertEquals(ListUpdateType.FAILED, Stub.next(told).kind, reply);
+                DiscoveryClient discoveryClient = discovery(stub);
+                loop.execute(() -> discoveryClient.watch(true));
+                assertEquals(ListUpdateType.FAILED, FakeUpstream.next(told).kind, reply);
+                loop.execute(discoveryClient::fetch);
+                assertEquals(ListUpdateType.FAILED, FakeUpstream.next(told).kind, reply);
                 loop.submit(() -> { }).sync();
                 assertEquals(0, told.size(), reply);
             }
@@ -97,20 +98,21 @@
     @Test
     void garbledEntryOfAWholeListKeepsItsLastGoodOne() throws Exception {
         String good = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
-                + Bed.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
+                + SidecarHarness.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
         String garbled = "{\"rev\":43,\"all\":true,\"targets\":["
                 + "{\"uid\":\"s-1\",\"state\":\"SERV\",\"endpoint\":7},{\"uid\":\"s-3\"}]}\n";
-        try (Stub stub = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk(good) + chunk(garbled) + chunk(garbled));
+        try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
+            FakeUpstream.write(socket, CHUNKED + chunk(good) + chunk(garbled) + chunk(garbled));
             return true;
         })) {
-            Discovery discovery = discovery(stub);
-            loop.execute(() -> discovery.watch(true));
-            assertEquals(2, Stub.next(told).targets.size());
+            DiscoveryClient discoveryClient = discovery(stub);
+            loop.execute(() -> discoveryClient.watch(true));
+            assertEquals(2, FakeUpstream.next(told).targets.size());
             for (int i = 0; i < 2; i++) {
-                Told list = Stub.next(told);
+                Told list = FakeUpstream.next(told);
                 assertEquals(ListUpdateType.FULL, list.kind);
-                assertEquals(List.of("s-1"), list.targets.stream().map(Discovery.Target::uid).toList());
+                assertEquals(List.of("s-1"), list.targets.stream().map(DiscoveryClient.ListEntry::uid)
+                        .toList());
                 assertEquals(UpstreamState.READY, list.targets.get(0).state());
             }
         }
@@ -120,34 +122,35 @@
     @Test
     void entryWithoutANameTakesNoOtherUpstreamAway() throws Exception {
         String good = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
-                + Bed.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
+                + SidecarHarness.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
         String garbled = "{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + ",5]}\n";
         String whole = "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
-        try (Stub stub = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk(good) + chunk(garbled) + chunk(whole));
+        try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
+            FakeUpstream.write(socket, CHUNKED + chunk(good) + chunk(garbled) + chunk(whole));
             return true;
         })) {
-            Discovery discovery = discovery(stub);
-            loop.execute(() -> discovery.watch(true));
-            assertEquals(2, Stub.next(told).targets.size());
-            assertEquals(List.of("s-1 DRAINING", "s-2 READY"), Stub.next(told).targets.stream()
+            DiscoveryClient discoveryClient = discovery(stub);
+            loop.execute(() -> discoveryClient.watch(true));
+            assertEquals(2, FakeUpstream.next(told).targets.size());
+            assertEquals(List.of("s-1 DRAINING", "s-2 READY"), FakeUpstream.next(told).targets.stream()
                     .map(target -> target.uid() + " " + target.state()).toList());
             assertEquals(List.of("s-1"),
-                    Stub.next(told).targets.stream().map(Discovery.Target::uid).toList());
+                    FakeUpstream.next(told).targets.stream().map(DiscoveryClient.ListEntry::uid).toList());
         }
     }
 
     @Test
     void wholeListIsFetchedOnce() throws Exception {
         String body = "{\"rev\":41,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (Stub stub = new Stub((socket, head) -> Stub.reply(socket, "200 OK", "", body))) {
-            Discovery discovery = discovery(stub);
-            loop.execute(discovery::fetch);
-            assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
-            Told list = Stub.next(told);
+        try (FakeUpstream stub = new FakeUpstream((socket, head) ->
+                FakeUpstream.reply(socket, "200 OK", "", body))) {
+            DiscoveryClient discoveryClient = discovery(stub);
+            loop.execute(discoveryClient::fetch);
+            assertTrue(FakeUpstream.next(stub.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
+            Told list = FakeUpstream.next(told);
             assertEquals(ListUpdateType.FULL, list.kind);
             assertEquals(9, list.targets.get(0).endpoint().getPort());
-            Stub.next(stub.ended);
+            FakeUpstream.next(stub.ended);
             assertEquals(0, told.size());
         }
     }
--- a/src/test/java/pondridge/sidecar/BadEndsTest.java
+++ b/src/test/java/pondridge/sidecar/FailedRequestLogTest.java
@@ -9,10 +9,11 @@
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
 
-class BadEndsTest {
+class FailedRequestLogTest {
     private static final long MS = 1_000_000;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final BadEnds ends = new BadEnds(new PrintStream(log, true, StandardCharsets.UTF_8));
+    private final FailedRequestLog ends = new FailedRequestLog(
+            new PrintStream(log, true, StandardCharsets.UTF_8));
 
     private List<String> lines() {
         return log.toString(StandardCharsets.UTF_8).lines().toList();
@@ -20,10 +21,10 @@
 
     @Test
     void lineNamesRequestReasonAndTries() {
-        BadEnds.Try first = new BadEnds.Try("s-1", 5 * MS);
+        FailedRequestLog.AttemptLogEntry first = new FailedRequestLog.AttemptLogEntry("s-1", 5 * MS);
         first.ended(Outcome.RESET, 12 * MS);
-        BadEnds.Try second = new BadEnds.Try("s-2", 20 * MS);
-        ends.add(0, () -> BadEnds.line("9b1f", "book", "failed", "DEADLINE", 480 * MS,
+        FailedRequestLog.AttemptLogEntry second = new FailedRequestLog.AttemptLogEntry("s-2", 20 * MS);
+        ends.add(0, () -> FailedRequestLog.line("9b1f", "book", "failed", "DEADLINE", 480 * MS,
                 List.of(first, second)));
         assertEquals(List.of("ended badly: 9b1f book failed DEADLINE after 480 ms,"
                 + " tries [s-1 RESET 7 ms, s-2 out]"), lines());
@@ -41,7 +42,7 @@
 
     @Test
     void longWordsAreCutAndMissingOnesMarked() {
-        ends.add(0, () -> BadEnds.line("y".repeat(5_000), null, "refused", "NO_ROOM", 0, List.of()));
+        ends.add(0, () -> FailedRequestLog.line("y".repeat(5_000), null, "refused", "NO_ROOM", 0, List.of()));
         assertEquals("ended badly: " + "y".repeat(64) + " - refused NO_ROOM after 0 ms, tries []",
                 lines().get(0));
     }
--- a/src/test/java/pondridge/sidecar/Stub.java
+++ b/src/test/java/pondridge/sidecar/FakeUpstream.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** A peer on a port that the system chose: a script plays each request on each connection. */
-final class Stub implements AutoCloseable {
+final class FakeUpstream implements AutoCloseable {
     /** Long enough for a crowded machine; a test that passes never waits so long. */
     static final long LIMIT_S = 30;
 
-    /** What a stub does with one request; false ends the connection. */
+    /** What a fake upstream does with one request; false ends the connection. */
     interface Script {
         boolean play(Socket socket, String head) throws IOException;
     }
@@ -35,7 +35,7 @@
     private final Thread acceptor;
     private final Script script;
 
-    Stub(Script script) {
+    FakeUpstream(Script script) {
         this.script = script;
         try {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -46,8 +46,9 @@
     }
 
     /** An upstream that answers each request with 200 and this body. */
-    static Stub serving(String body) {
-        return new Stub((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
+    static FakeUpstream serving(String body) {
+        return new FakeUpstream((socket, head) ->
+                reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
     }
 
     static boolean reply(Socket socket, String status, String headers, String body) throws IOException {
@@ -98,7 +99,7 @@
                 thread(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the stub's end.
+            // Closed: the fake upstream's end.
         }
     }
 
--- a/src/test/java/pondridge/sidecar/PeersTest.java
+++ b/src/test/java/pondridge/sidecar/PeerMessengerTest.java
@@ -20,8 +20,8 @@
 import pondridge.Balancer.Actions;
 
 /** Messages between sidecars on real sockets. */
-@Timeout(Stub.LIMIT_S)
-class PeersTest {
+@Timeout(FakeUpstream.LIMIT_S)
+class PeerMessengerTest {
     private record Heard(int from, byte[] message) { }
 
     private final MultiThreadIoEventLoopGroup group =
@@ -36,7 +36,7 @@
 
     private static DatagramSocket socket() throws Exception {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakeUpstream.LIMIT_S));
         return socket;
     }
 
@@ -52,11 +52,11 @@
             try (DatagramSocket free = socket()) {
                 listen = address(free);
             }
-            Peers peers = new Peers(new Peers.Addresses(listen,
+            PeerMessenger peerMessenger = new PeerMessenger(new PeerMessenger.Addresses(listen,
                     List.of(address(first), listen, address(third)), address(all)),
                     (from, message) -> heard.add(new Heard(from, message)));
-            loop.submit(() -> peers.listen(loop)).sync();
-            loop.submit(() -> peers.send(Actions.ALL_PEERS, new byte[] {1, 2, 3, 4})).sync();
+            loop.submit(() -> peerMessenger.listen(loop)).sync();
+            loop.submit(() -> peerMessenger.send(Actions.ALL_PEERS, new byte[] {1, 2, 3, 4})).sync();
             DatagramPacket packet = new DatagramPacket(new byte[300], 300);
             all.receive(packet);
             assertEquals(4, packet.getLength());
@@ -64,7 +64,7 @@
             stranger.send(new DatagramPacket(new byte[] {9}, 1, listen));
             third.send(new DatagramPacket(new byte[300], 300, listen));
             third.send(new DatagramPacket(new byte[] {5, 6}, 2, listen));
-            Heard one = Stub.next(heard);
+            Heard one = FakeUpstream.next(heard);
             assertEquals(2, one.from);
             assertArrayEquals(new byte[] {5, 6}, one.message);
             assertEquals(0, heard.size());
@@ -78,16 +78,17 @@
             InetSocketAddress listen;
             try (DatagramSocket taken = socket()) {
                 listen = address(taken);
-                Peers peers = new Peers(new Peers.Addresses(listen, List.of(address(peer), listen), null),
+                PeerMessenger peerMessenger = new PeerMessenger(
+                        new PeerMessenger.Addresses(listen, List.of(address(peer), listen), null),
                         (from, message) -> heard.add(new Heard(from, message)));
-                loop.submit(() -> peers.listen(loop)).sync();
+                loop.submit(() -> peerMessenger.listen(loop)).sync();
                 loop.submit(() -> { }).sync();
             }
             while (heard.isEmpty()) {
                 peer.send(new DatagramPacket(new byte[] {7}, 1, listen));
                 Thread.sleep(20);
             }
-            assertArrayEquals(new byte[] {7}, Stub.next(heard).message);
+            assertArrayEquals(new byte[] {7}, FakeUpstream.next(heard).message);
         }
     }
 }
--- a/src/test/java/pondridge/sidecar/EngineTest.java
+++ b/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class EngineTest {
+class RequestDispatcherTest {
     /** Counts its answers; its connection is gone. */
-    private static final class GoneClient implements Engine.Client {
+    private static final class GoneClient implements RequestDispatcher.ClientCallback {
         private final AtomicInteger answers = new AtomicInteger();
 
         @Override
@@ -20,7 +20,7 @@
         }
 
         @Override
-        public void served(Engine.Answer answer) {
+        public void served(RequestDispatcher.UpstreamResponse answer) {
             answers.incrementAndGet();
         }
 
@@ -39,16 +39,17 @@
     @Test
     void aRequestWithABlockedAttemptWasKeptForever() throws Exception {
         HttpHeaders headers = new DefaultHttpHeaders().add("Req-Id", "a").add("Req-Kind", "look");
-        Engine.Job job = new Engine.Job(0, 0, 0, 0, Bed.LONG_MS, 0, false, HttpMethod.GET, "/api/a", headers,
-                new byte[0]);
+        RequestDispatcher.ClientRequest clientRequest = new RequestDispatcher.ClientRequest(0, 0, 0, 0,
+                SidecarHarness.LONG_MS, 0, false, HttpMethod.GET, "/api/a", headers, new byte[0]);
         GoneClient client = new GoneClient();
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
-            bed.loop.submit(() -> bed.engine.submit(job, client)).sync();
+        try (FakeUpstream upstream = FakeUpstream.serving("x");
+                SidecarHarness harness = SidecarHarness.with(upstream)) {
+            harness.loop.submit(() -> harness.dispatcher.submit(clientRequest, client)).sync();
             long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-            while (bed.loop.submit(bed.engine::held).get() > 0 && System.nanoTime() < giveUpAt) {
+            while (harness.loop.submit(harness.dispatcher::held).get() > 0 && System.nanoTime() < giveUpAt) {
                 Thread.sleep(10);
             }
-            assertEquals(0, bed.loop.submit(bed.engine::held).get(), "requests still held");
+            assertEquals(0, harness.loop.submit(harness.dispatcher::held).get(), "requests still held");
             assertEquals(1, client.answers.get(), "one answer");
             assertEquals(0, upstream.heads.size(), "nothing is sent for a client that has left");
         }
--- a/src/test/java/pondridge/sidecar/Bed.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -22,25 +22,25 @@
 import java.util.concurrent.TimeUnit;
 
 /** A sidecar in this process, with its upstreams known from the start, and a client for it. */
-final class Bed implements AutoCloseable {
+final class SidecarHarness implements AutoCloseable {
     static final int LONG_MS = 20_000;
 
-    private final LoopTimes times = new LoopTimes();
+    private final EventLoopMonitor times = new EventLoopMonitor();
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, times.watching(NioIoHandler.newFactory()));
     final EventLoop loop = group.next();
     final Frontend frontend;
-    final Engine engine;
+    final RequestDispatcher dispatcher;
     final InetSocketAddress address;
 
     /** An answer as the client saw it. */
     record Answer(int status, String head, String body) { }
 
-    Bed(ObjectNode json) throws Exception {
+    SidecarHarness(ObjectNode json) throws Exception {
         Config config = Config.of(json);
-        engine = new Engine(loop, config, 100);
-        frontend = new Frontend(engine, times, config.settingsReader(), 100);
-        loop.submit(() -> engine.start(config.known())).sync();
+        dispatcher = new RequestDispatcher(loop, config, 100);
+        frontend = new Frontend(dispatcher, times, config.settingsReader(), 100);
+        loop.submit(() -> dispatcher.start(config.known())).sync();
         address = (InetSocketAddress) frontend.listen(loop, config.listen()).sync().channel().localAddress();
     }
 
@@ -60,18 +60,18 @@
                         }
                     }).connect(server.getLocalSocketAddress()).sync();
             try (Socket socket = server.accept()) {
-                Stub.write(socket, "x");
+                FakeUpstream.write(socket, "x");
                 stalled.await();
             }
         }
     }
 
-    static Bed with(Stub... upstreams) throws Exception {
-        return new Bed(json(upstreams));
+    static SidecarHarness with(FakeUpstream... upstreams) throws Exception {
+        return new SidecarHarness(json(upstreams));
     }
 
     /** A configuration with classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
-    static ObjectNode json(Stub... upstreams) throws IOException {
+    static ObjectNode json(FakeUpstream... upstreams) throws IOException {
         ObjectNode root = (ObjectNode) Config.JSON.readTree("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -127,21 +127,21 @@
 
         Client(InetSocketAddress address) throws IOException {
             socket = new Socket(address.getAddress(), address.getPort());
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakeUpstream.LIMIT_S));
             in = new BufferedInputStream(socket.getInputStream());
         }
 
         Answer ask(String request) throws IOException {
-            Stub.write(socket, request);
+            FakeUpstream.write(socket, request);
             return read();
         }
 
         Answer read() throws IOException {
-            String head = Stub.head(in);
+            String head = FakeUpstream.head(in);
             if (head.isEmpty()) {
                 throw new IOException("connection ended without an answer");
             }
-            String body = new String(in.readNBytes(Stub.length(head)), StandardCharsets.ISO_8859_1);
+            String body = new String(in.readNBytes(FakeUpstream.length(head)), StandardCharsets.ISO_8859_1);
             return new Answer(Integer.parseInt(head.substring(9, 12)), head, body);
         }
 
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -16,21 +16,23 @@
 
     @Test
     void requestAndAnswerGoOnUnchanged() throws Exception {
-        try (Stub upstream = Stub.serving("{\"parts\":7}"); Bed bed = Bed.with(upstream)) {
-            Bed.Answer answer = bed.ask(Bed.post("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
+        try (FakeUpstream upstream = FakeUpstream.serving("{\"parts\":7}");
+                SidecarHarness harness = SidecarHarness.with(upstream)) {
+            SidecarHarness.Answer answer = harness.ask(SidecarHarness.post("hold",
+                    "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
             assertEquals(200, answer.status());
             assertEquals("{\"parts\":7}", answer.body());
-            assertEquals("text/x-part", Stub.header(answer.head(), "Content-Type"));
-            String head = Stub.next(upstream.heads);
+            assertEquals("text/x-part", FakeUpstream.header(answer.head(), "Content-Type"));
+            String head = FakeUpstream.next(upstream.heads);
             assertTrue(head.startsWith("POST /api/7f3a HTTP/1.1\r\n"), head);
-            assertEquals("9b1f", Stub.header(head, "Req-Id"));
-            assertEquals("5c0f", Stub.header(head, "Idempotency-Key"));
-            assertEquals("t1", Stub.header(head, "X-Trace"));
-            int wait = Integer.parseInt(Stub.header(head, "Req-Deadline-Ms"));
-            assertTrue(wait > 0 && wait < Bed.LONG_MS, "room for the way back: " + wait);
-            assertEquals("two", Stub.next(upstream.bodies));
-            assertEquals(200, bed.ask(Bed.look("a")).status());
-            assertTrue(Stub.next(upstream.heads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
+            assertEquals("9b1f", FakeUpstream.header(head, "Req-Id"));
+            assertEquals("5c0f", FakeUpstream.header(head, "Idempotency-Key"));
+            assertEquals("t1", FakeUpstream.header(head, "X-Trace"));
+            int wait = Integer.parseInt(FakeUpstream.header(head, "Req-Deadline-Ms"));
+            assertTrue(wait > 0 && wait < SidecarHarness.LONG_MS, "room for the way back: " + wait);
+            assertEquals("two", FakeUpstream.next(upstream.bodies));
+            assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
+            assertTrue(FakeUpstream.next(upstream.heads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
 
@@ -38,33 +40,37 @@
     @Test
     void largestBodiesGoThrough() throws Exception {
         String body = "x".repeat(1 << 16);
-        try (Stub upstream = Stub.serving(body); Bed bed = Bed.with(upstream)) {
-            assertEquals(body, bed.ask(Bed.post("book", "", body)).body());
-            assertEquals(body, Stub.next(upstream.bodies));
+        try (FakeUpstream upstream = FakeUpstream.serving(body);
+                SidecarHarness harness = SidecarHarness.with(upstream)) {
+            assertEquals(body, harness.ask(SidecarHarness.post("book", "", body)).body());
+            assertEquals(body, FakeUpstream.next(upstream.bodies));
         }
     }
 
     /** A request in no known form must not reach an upstream: there it would void more than itself. */
     @Test
     void malformedRequestsAreToldSoAndGoNowhere() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (FakeUpstream upstream = FakeUpstream.serving("x");
+                SidecarHarness harness = SidecarHarness.with(upstream)) {
             for (String bad : List.of(
                     "NONSENSE\r\n\r\n",
-                    Bed.look("a").replace("Req-Id: a\r\n", ""),
-                    Bed.look("a").replace("look", "glance"),
-                    Bed.look("a").replace("acme", "nobody"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
-                    Bed.look("a").replace("GET", "PUT"),
-                    Bed.post("hold", "", "x"),
-                    Bed.post("book", "Idempotency-Key: 1\r\n", "x"))) {
-                assertEquals(400, bed.ask(bad).status(), bad);
+                    SidecarHarness.look("a").replace("Req-Id: a\r\n", ""),
+                    SidecarHarness.look("a").replace("look", "glance"),
+                    SidecarHarness.look("a").replace("acme", "nobody"),
+                    SidecarHarness.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
+                    SidecarHarness.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
+                    SidecarHarness.look("a")
+                            .replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
+                    SidecarHarness.look("a").replace("GET", "PUT"),
+                    SidecarHarness.post("hold", "", "x"),
+                    SidecarHarness.post("book", "Idempotency-Key: 1\r\n", "x"))) {
+                assertEquals(400, harness.ask(bad).status(), bad);
             }
-            assertEquals(404, bed.ask(Bed.look("a").replace("/api/", "/other/")).status());
-            assertEquals(413, bed.ask(Bed.post("book", "", "x".repeat((1 << 16) + 1))).status());
-            assertEquals(200, bed.ask(Bed.look("good")).status());
-            assertEquals("good", Stub.header(Stub.next(upstream.heads), "Req-Id"));
+            assertEquals(404, harness.ask(SidecarHarness.look("a").replace("/api/", "/other/")).status());
+            assertEquals(413, harness.ask(SidecarHarness.post("book", "", "x".repeat((1 << 16) + 1)))
+                    .status());
+            assertEquals(200, harness.ask(SidecarHarness.look("good")).status());
+            assertEquals("good", FakeUpstream.header(FakeUpstream.next(upstream.heads), "Req-Id"));
             assertNull(upstream.heads.poll(), "no other request came this far");
         }
     }
@@ -72,12 +78,12 @@
     /** A refused connection proves that nothing ran, so that even an unsafe request may go elsewhere. */
     @Test
     void unsafeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
-        try (Stub gone = Stub.serving("x"); Stub upstream = Stub.serving("y");
-                Bed bed = Bed.with(gone, upstream)) {
+        try (FakeUpstream gone = FakeUpstream.serving("x"); FakeUpstream upstream = FakeUpstream.serving("y");
+                SidecarHarness harness = SidecarHarness.with(gone, upstream)) {
             gone.die();
             for (int i = 0; i < 4; i++) {
-                assertEquals("y", bed.ask(Bed.post("book", "", "b" + i)).body());
-                assertEquals("b" + i, Stub.next(upstream.bodies), "each once");
+                assertEquals("y", harness.ask(SidecarHarness.post("book", "", "b" + i)).body());
+                assertEquals("b" + i, FakeUpstream.next(upstream.bodies), "each once");
             }
             assertNull(upstream.bodies.poll());
         }
@@ -87,19 +93,20 @@
     @Test
     void unsafeRequestIsNotSentAgainAfterAReset() throws Exception {
         for (String how : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
-            Stub.Script script = (socket, head) -> {
+            FakeUpstream.Script script = (socket, head) -> {
                 if (how.startsWith("5")) {
-                    return Stub.reply(socket, how, "", "");
+                    return FakeUpstream.reply(socket, how, "", "");
                 }
                 if (how.equals("cut short")) {
-                    Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+                    FakeUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
                 } else if (how.equals("nonsense")) {
-                    Stub.write(socket, "what is this\r\n\r\n");
+                    FakeUpstream.write(socket, "what is this\r\n\r\n");
                 }
-                return how.equals("reset") && Stub.reset(socket);
+                return how.equals("reset") && FakeUpstream.reset(socket);
             };
-            try (Stub one = new Stub(script); Stub two = new Stub(script); Bed bed = Bed.with(one, two)) {
-                assertEquals(502, bed.ask(Bed.post("book", "", "b")).status(), how);
+            try (FakeUpstream one = new FakeUpstream(script); FakeUpstream two = new FakeUpstream(script);
+                    SidecarHarness harness = SidecarHarness.with(one, two)) {
+                assertEquals(502, harness.ask(SidecarHarness.post("book", "", "b")).status(), how);
                 assertEquals(1, one.heads.size() + two.heads.size(), how);
             }
         }
@@ -112,28 +119,33 @@
                 "HTTP/1.1 200 OK\r\nnone\r\n", "HTTP/1.1 200 OK\r\nno colon: here\r\n",
                 "HTTP/1.1 200 OK\r\n: nameless\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n")) {
-            Stub.Script garbles = (socket, head) -> {
-                Stub.write(socket, bad + "Content-Length: 1\r\n\r\nx");
+            FakeUpstream.Script garbles = (socket, head) -> {
+                FakeUpstream.write(socket, bad + "Content-Length: 1\r\n\r\nx");
                 return true;
             };
-            try (Stub upstream = new Stub(garbles); Bed bed = Bed.with(upstream)) {
-                assertEquals(502, bed.ask(Bed.post("book", "", "b")).status(), bad);
-                Stub.next(upstream.ended);
+            try (FakeUpstream upstream = new FakeUpstream(garbles);
+                    SidecarHarness harness = SidecarHarness.with(upstream)) {
+                assertEquals(502, harness.ask(SidecarHarness.post("book", "", "b")).status(), bad);
+                FakeUpstream.next(upstream.ended);
             }
         }
-        Stub.Script odd = (socket, head) -> Stub.reply(socket, "200 OK", "Empty:\r\nBlank : b\r\n", "x");
-        try (Stub upstream = new Stub(odd); Bed bed = Bed.with(upstream)) {
-            assertEquals("x", bed.ask(Bed.post("book", "", "b")).body(), "odd, but readable");
+        FakeUpstream.Script odd = (socket, head) ->
+                FakeUpstream.reply(socket, "200 OK", "Empty:\r\nBlank : b\r\n", "x");
+        try (FakeUpstream upstream = new FakeUpstream(odd);
+                SidecarHarness harness = SidecarHarness.with(upstream)) {
+            assertEquals("x", harness.ask(SidecarHarness.post("book", "", "b")).body(), "odd, but readable");
         }
     }
 
     /** A repeat is harmless for a safe request and for one whose key the upstreams know. */
     @Test
     void safeAndKeyedRequestsAreSentAgainAfterAReset() throws Exception {
-        Stub.Script script = (socket, head) -> Stub.reset(socket);
-        for (String request : List.of(Bed.look("a"), Bed.post("hold", "Idempotency-Key: 1\r\n", "b"))) {
-            try (Stub one = new Stub(script); Stub two = new Stub(script); Bed bed = Bed.with(one, two)) {
-                assertEquals(503, bed.ask(request).status(), "all tried, and a retry is harmless");
+        FakeUpstream.Script script = (socket, head) -> FakeUpstream.reset(socket);
+        for (String request : List.of(SidecarHarness.look("a"),
+                SidecarHarness.post("hold", "Idempotency-Key: 1\r\n", "b"))) {
+            try (FakeUpstream one = new FakeUpstream(script); FakeUpstream two = new FakeUpstream(script);
+                    SidecarHarness harness = SidecarHarness.with(one, two)) {
+                assertEquals(503, harness.ask(request).status(), "all tried, and a retry is harmless");
                 assertEquals(1, one.heads.size());
                 assertEquals(1, two.heads.size());
             }
@@ -143,11 +155,14 @@
     /** Srv-Declined proves that nothing ran; without that header a 503 proves nothing (tested above). */
     @Test
     void declinedUnsafeRequestGoesElsewhere() throws Exception {
-        Stub.Script declines = (socket, head) -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-        try (Stub one = new Stub(declines); Stub two = new Stub(declines); Bed bed = Bed.with(one, two)) {
-            Bed.Answer answer = bed.ask(Bed.post("book", "", "b"));
+        FakeUpstream.Script declines = (socket, head) ->
+                FakeUpstream.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
+        try (FakeUpstream one = new FakeUpstream(declines); FakeUpstream two = new FakeUpstream(declines);
+                SidecarHarness harness = SidecarHarness.with(one, two)) {
+            SidecarHarness.Answer answer = harness.ask(SidecarHarness.post("book", "", "b"));
             assertEquals(503, answer.status());
-            assertEquals("0.750", Stub.header(answer.head(), "Retry-After"), "as long as the module says");
+            assertEquals("0.750", FakeUpstream.header(answer.head(), "Retry-After"),
+                    "as long as the module says");
             assertEquals(1, one.heads.size());
             assertEquals(1, two.heads.size());
         }
@@ -156,29 +171,31 @@
     /** A client that leaves takes its attempt with it: its connection must close, not be used again. */
     @Test
     void hangUpClosesTheAttemptsConnection() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true); Bed bed = Bed.with(silent)) {
-            try (Bed.Client client = new Bed.Client(bed.address)) {
-                Stub.write(client.socket, Bed.look("a"));
-                Stub.next(silent.heads);
+        try (FakeUpstream silent = new FakeUpstream((socket, head) -> true);
+                SidecarHarness harness = SidecarHarness.with(silent)) {
+            try (SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
+                FakeUpstream.write(client.socket, SidecarHarness.look("a"));
+                FakeUpstream.next(silent.heads);
             }
-            Stub.next(silent.ended);
+            FakeUpstream.next(silent.ended);
         }
     }
 
     /** Connections are few: peers that send nothing, or no end of a request, must not hold them for good. */
     @Test
     void peersThatSendNoWholeRequestAreClosed() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (FakeUpstream upstream = FakeUpstream.serving("x");
+                SidecarHarness harness = SidecarHarness.with(upstream)) {
             List<String> starts = List.of("", "GET /api/7f3a HTTP/1.1\r\nHost:",
-                    Bed.post("book", "", "body").replace("body", "b"));
+                    SidecarHarness.post("book", "", "body").replace("body", "b"));
             for (String start : starts) {
-                try (Bed.Client peer = new Bed.Client(bed.address)) {
-                    Stub.write(peer.socket, start);
+                try (SidecarHarness.Client peer = new SidecarHarness.Client(harness.address)) {
+                    FakeUpstream.write(peer.socket, start);
                     assertEquals(-1, peer.socket.getInputStream().read(), "a close: " + start);
                 }
             }
-            try (Bed.Client client = new Bed.Client(bed.address)) {
-                assertEquals(200, client.ask(Bed.look("a")).status());
+            try (SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
+                assertEquals(200, client.ask(SidecarHarness.look("a")).status());
                 assertEquals(-1, client.socket.getInputStream().read(), "also after an answer");
             }
             assertEquals(1, upstream.heads.size(), "none of them reached an upstream");
@@ -188,19 +205,24 @@
     /** Silent upstreams must not cost the client its answer: it comes while the client still waits. */
     @Test
     void silenceIsAnsweredBeforeTheClientsDeadline() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true); Bed bed = Bed.with(silent)) {
-            String shorter = Bed.post("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
-            assertEquals(502, bed.ask(shorter).status());
-            Stub.next(silent.ended);
+        try (FakeUpstream silent = new FakeUpstream((socket, head) -> true);
+                SidecarHarness harness = SidecarHarness.with(silent)) {
+            String shorter = SidecarHarness.post("book", "", "b")
+                    .replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
+            assertEquals(502, harness.ask(shorter).status());
+            FakeUpstream.next(silent.ended);
         }
     }
 
     @Test
     void requestsAheadOfTheirTurnAreAnsweredInOrder() throws Exception {
-        Stub.Script echo = (socket, head) -> Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
-        try (Stub upstream = new Stub(echo); Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.look("a") + Bed.look("b") + Bed.look("c"));
+        FakeUpstream.Script echo = (socket, head) ->
+                FakeUpstream.reply(socket, "200 OK", "", FakeUpstream.header(head, "Req-Id"));
+        try (FakeUpstream upstream = new FakeUpstream(echo);
+                SidecarHarness harness = SidecarHarness.with(upstream);
+                SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
+            FakeUpstream.write(client.socket, SidecarHarness.look("a") + SidecarHarness.look("b")
+                    + SidecarHarness.look("c"));
             for (String id : List.of("a", "b", "c")) {
                 assertEquals(id, client.read().body());
             }
@@ -210,13 +232,13 @@
     /** A stale connection turns requests into resets: it is retired before the upstream's own idle time. */
     @Test
     void idleConnectionIsRetired() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
-            ObjectNode json = Bed.json(upstream);
+        try (FakeUpstream upstream = FakeUpstream.serving("x")) {
+            ObjectNode json = SidecarHarness.json(upstream);
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
-            try (Bed bed = new Bed(json)) {
-                assertEquals(200, bed.ask(Bed.look("a")).status());
-                Stub.next(upstream.ended);
-                assertEquals(200, bed.ask(Bed.look("b")).status());
+            try (SidecarHarness harness = new SidecarHarness(json)) {
+                assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
+                FakeUpstream.next(upstream.ended);
+                assertEquals(200, harness.ask(SidecarHarness.look("b")).status());
             }
         }
     }
@@ -225,17 +247,18 @@
     void connectionIsKeptAndUsedAgain() throws Exception {
         CountDownLatch connections = new CountDownLatch(2);
         ThreadLocal<Boolean> first = ThreadLocal.withInitial(() -> true);
-        Stub.Script counting = (socket, head) -> {
+        FakeUpstream.Script counting = (socket, head) -> {
             if (first.get()) {
                 first.set(false);
                 connections.countDown();
             }
-            return Stub.reply(socket, "200 OK", "", "x");
+            return FakeUpstream.reply(socket, "200 OK", "", "x");
         };
-        try (Stub upstream = new Stub(counting); Bed bed = Bed.with(upstream)) {
+        try (FakeUpstream upstream = new FakeUpstream(counting);
+                SidecarHarness harness = SidecarHarness.with(upstream)) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, bed.ask(Bed.look("a" + i)).status());
-                Thread.sleep(Upstreams.SURPLUS_REST_MS);
+                assertEquals(200, harness.ask(SidecarHarness.look("a" + i)).status());
+                Thread.sleep(UpstreamClient.SURPLUS_REST_MS);
             }
             assertEquals(1, connections.getCount(), "one connection for all five");
         }
@@ -252,36 +275,38 @@
     /** Unprompted or asked for, on the socket it is one and the same watch. */
     private static void drainIsKeptAndWatchRenewed(String how) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub drained = Stub.serving("x"); Stub other = Stub.serving("y")) {
+        try (FakeUpstream drained = FakeUpstream.serving("x");
+                FakeUpstream other = FakeUpstream.serving("y")) {
             String line = "{\"rev\":42,\"all\":false,\"targets\":["
-                    + Bed.target("s-0", drained.endpoint(), "DRAINING") + "]}\n";
-            try (Stub discovery = new Stub((socket, head) -> {
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    + SidecarHarness.target("s-0", drained.endpoint(), "DRAINING") + "]}\n";
+            try (FakeUpstream discovery = new FakeUpstream((socket, head) -> {
+                FakeUpstream.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
                     go.await();
                 } catch (InterruptedException e) {
                     return false;
                 }
                 if (head.contains("from=41 ")) {
-                    Stub.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                    FakeUpstream.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                 }
                 return false;
             })) {
-                ObjectNode json = Bed.json(drained, other).put("discovery", discovery.endpoint());
+                ObjectNode json = SidecarHarness.json(drained, other).put("discovery", discovery.endpoint());
                 json.withObject("/settings").put("discovery", how);
-                try (Bed bed = new Bed(json)) {
+                try (SidecarHarness harness = new SidecarHarness(json)) {
                     while (drained.heads.isEmpty()) {
-                        assertEquals(200, bed.ask(Bed.look("a")).status());
+                        assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
                     }
                     go.countDown();
-                    Stub.next(drained.ended);
+                    FakeUpstream.next(drained.ended);
                     int before = drained.heads.size();
                     for (int i = 0; i < 6; i++) {
-                        assertEquals("y", bed.ask(Bed.look("b" + i)).body());
+                        assertEquals("y", harness.ask(SidecarHarness.look("b" + i)).body());
                     }
                     assertEquals(before, drained.heads.size());
-                    assertTrue(Stub.next(discovery.heads).contains("from=41 "));
-                    assertTrue(Stub.next(discovery.heads).contains("from=42 "), "where the first one ended");
+                    assertTrue(FakeUpstream.next(discovery.heads).contains("from=41 "));
+                    assertTrue(FakeUpstream.next(discovery.heads).contains("from=42 "),
+                            "where the first one ended");
                 }
             }
         }
@@ -291,8 +316,8 @@
     @Test
     void listsOfAThousandAndMoreAreRead() throws Exception {
         int many = 1_024;
-        try (Stub upstream = Stub.serving("x")) {
-            ObjectNode json = Bed.json();
+        try (FakeUpstream upstream = FakeUpstream.serving("x")) {
+            ObjectNode json = SidecarHarness.json();
             ArrayNode targets = json.withObject("/known").withArray("/targets");
             ArrayNode zones = json.withObject("/settings").putArray("zones");
             ArrayNode kinds = json.withObject("/settings").putArray("kinds");
@@ -303,12 +328,13 @@
                 kinds.add("kind-" + i);
                 tenants.addObject().put("name", "tenant-" + i).put("portion", 1.0 / many).put("quotaRps", 10);
                 peers.add("127.9." + i / 250 + "." + (1 + i % 250) + ":7946");
-                targets.add(Bed.target("s-" + i, upstream.endpoint(), "SERVING").put("az", "zone-" + i)
-                        .put("model", "kind-" + i).put("pod_group", i));
+                targets.add(SidecarHarness.target("s-" + i, upstream.endpoint(), "SERVING")
+                        .put("az", "zone-" + i).put("model", "kind-" + i).put("pod_group", i));
             }
-            try (Bed bed = new Bed(json); Bed.Client client = new Bed.Client(bed.address)) {
+            try (SidecarHarness harness = new SidecarHarness(json);
+                    SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
                 for (int i = 0; i < many; i++) {
-                    String request = Bed.look("r" + i).replace("acme", "tenant-" + i);
+                    String request = SidecarHarness.look("r" + i).replace("acme", "tenant-" + i);
                     assertEquals(200, client.ask(request).status(), request);
                 }
             }
@@ -319,32 +345,33 @@
     @Test
     void drainingSidecarAnswersWhatItHoldsAndEndsItsConnections() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Stub.Script held = (socket, head) -> {
+        FakeUpstream.Script held = (socket, head) -> {
             try {
                 go.await();
             } catch (InterruptedException e) {
                 return false;
             }
-            return Stub.reply(socket, "200 OK", "", "late");
+            return FakeUpstream.reply(socket, "200 OK", "", "late");
         };
-        try (Stub upstream = new Stub(held); Bed bed = Bed.with(upstream);
-                Bed.Client busy = new Bed.Client(bed.address);
-                Bed.Client idle = new Bed.Client(bed.address)) {
+        try (FakeUpstream upstream = new FakeUpstream(held);
+                SidecarHarness harness = SidecarHarness.with(upstream);
+                SidecarHarness.Client busy = new SidecarHarness.Client(harness.address);
+                SidecarHarness.Client idle = new SidecarHarness.Client(harness.address)) {
             assertEquals(404, idle.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            Stub.write(busy.socket, Bed.look("a"));
-            Stub.next(upstream.heads);
-            bed.loop.submit(bed.frontend::drain).sync();
+            FakeUpstream.write(busy.socket, SidecarHarness.look("a"));
+            FakeUpstream.next(upstream.heads);
+            harness.loop.submit(harness.frontend::drain).sync();
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is ended");
-            Bed.Answer meanwhile = bed.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n");
+            SidecarHarness.Answer meanwhile = harness.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(404, meanwhile.status(), "and its client still gets in");
-            assertEquals("close", Stub.header(meanwhile.head(), "Connection"));
-            bed.loop.submit(bed.frontend::close).sync();
-            assertEquals(404, bed.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status(), "to the end");
-            assertFalse(bed.loop.submit(bed.frontend::empty).get());
+            assertEquals("close", FakeUpstream.header(meanwhile.head(), "Connection"));
+            harness.loop.submit(harness.frontend::close).sync();
+            assertEquals(404, harness.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status(), "to the end");
+            assertFalse(harness.loop.submit(harness.frontend::empty).get());
             go.countDown();
-            Bed.Answer answer = busy.read();
+            SidecarHarness.Answer answer = busy.read();
             assertEquals("late", answer.body());
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
+            assertEquals("close", FakeUpstream.header(answer.head(), "Connection"));
             assertEquals(-1, busy.socket.getInputStream().read());
         }
     }
@@ -352,15 +379,16 @@
     /** A client on a new connection may have written already; closed upon, its request would be lost. */
     @Test
     void firstRequestOnANewConnectionIsAnsweredWhileDraining() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream);
-                Bed.Client fresh = new Bed.Client(bed.address)) {
-            while (bed.loop.submit(bed.frontend::empty).get()) {
+        try (FakeUpstream upstream = FakeUpstream.serving("x");
+                SidecarHarness harness = SidecarHarness.with(upstream);
+                SidecarHarness.Client fresh = new SidecarHarness.Client(harness.address)) {
+            while (harness.loop.submit(harness.frontend::empty).get()) {
                 Thread.onSpinWait();
             }
-            bed.loop.submit(bed.frontend::drain).sync();
-            Bed.Answer answer = fresh.ask(Bed.look("a"));
+            harness.loop.submit(harness.frontend::drain).sync();
+            SidecarHarness.Answer answer = fresh.ask(SidecarHarness.look("a"));
             assertEquals("x", answer.body());
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
+            assertEquals("close", FakeUpstream.header(answer.head(), "Connection"));
         }
     }
 
@@ -368,13 +396,14 @@
     @Test
     void requestThatAStallKeptUnreadIsAnswered() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream);
-                Bed.Client fresh = new Bed.Client(bed.address)) {
-            while (bed.loop.submit(bed.frontend::empty).get()) {
+        try (FakeUpstream upstream = FakeUpstream.serving("x");
+                SidecarHarness harness = SidecarHarness.with(upstream);
+                SidecarHarness.Client fresh = new SidecarHarness.Client(harness.address)) {
+            while (harness.loop.submit(harness.frontend::empty).get()) {
                 Thread.onSpinWait();
             }
-            bed.stall(go);
-            Stub.write(fresh.socket, Bed.look("a"));
+            harness.stall(go);
+            FakeUpstream.write(fresh.socket, SidecarHarness.look("a"));
             Thread.sleep(ClientConnection.FIRST_REQUEST_MS + 100);
             go.countDown();
             assertEquals("x", fresh.read().body());
@@ -384,17 +413,20 @@
     /** What had lain unread behind a stall was sent on with all of its time. */
     @Test
     void upstreamsWereToldTheTimeThatAStallHadTaken() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            assertEquals(200, client.ask(Bed.look("a")).status());
-            int whole = Integer.parseInt(Stub.header(Stub.next(upstream.heads), "Req-Deadline-Ms"));
+        try (FakeUpstream upstream = FakeUpstream.serving("x");
+                SidecarHarness harness = SidecarHarness.with(upstream);
+                SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
+            assertEquals(200, client.ask(SidecarHarness.look("a")).status());
+            int whole = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
+                    "Req-Deadline-Ms"));
             CountDownLatch go = new CountDownLatch(1);
-            bed.stall(go);
-            Stub.write(client.socket, Bed.look("b"));
+            harness.stall(go);
+            FakeUpstream.write(client.socket, SidecarHarness.look("b"));
             Thread.sleep(1_000);
             go.countDown();
             assertEquals(200, client.read().status());
-            int left = Integer.parseInt(Stub.header(Stub.next(upstream.heads), "Req-Deadline-Ms"));
+            int left = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
+                    "Req-Deadline-Ms"));
             assertTrue(left <= whole - 950, left + " of " + whole + " ms told behind a stall of 1,000 ms");
         }
     }
--- a/src/test/java/pondridge/sidecar/StallsTest.java
+++ b/src/test/java/pondridge/sidecar/StallEstimatorTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-class StallsTest {
+class StallEstimatorTest {
     private static final long MS = 1_000_000;
 
     @Test
     void theWorstStallCountsUntilItIsLongAgo() {
-        Stalls stalls = new Stalls();
+        StallEstimator stalls = new StallEstimator();
         long now = 5_000 * MS;
         assertTrue(stalls.recent(now) >= 10 * MS, "a program just started is expected to stall");
         stalls.lasted(now, 200 * MS);
--- a/src/test/java/pondridge/sidecar/StartTimesTest.java
+++ b/src/test/java/pondridge/sidecar/StartTimeConverterTest.java
@@ -5,13 +5,13 @@
 
 import org.junit.jupiter.api.Test;
 
-class StartTimesTest {
+class StartTimeConverterTest {
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
     private static final long HOUR_MS = 3_600_000;
     private static final long WALL_MS = 1_700_000_000_000L;
     private static final long NOW = 1_000_000 * SECOND;
-    private final StartTimes times = new StartTimes();
+    private final StartTimeConverter times = new StartTimeConverter();
 
     @Test
     void withoutAStepTheAgeIsTheWallClocks() {
@@ -24,7 +24,7 @@
     @Test
     void aStepMadeAColdUpstreamWarmOrAWarmOneCold() {
         for (long step : new long[] {HOUR_MS, -HOUR_MS, 5_000, -5_000}) {
-            StartTimes stepped = new StartTimes();
+            StartTimeConverter stepped = new StartTimeConverter();
             stepped.observe(NOW, WALL_MS);
             long later = NOW + 10 * SECOND;
             stepped.observe(later, WALL_MS + 10_000 + step);
--- a/src/test/java/pondridge/sidecar/UpstreamsTest.java
+++ b/src/test/java/pondridge/sidecar/UpstreamClientTest.java
@@ -31,7 +31,7 @@
 import pondridge.SettingsReader;
 
 /** Attempts and probes on real connections, and what they end as. */
-class UpstreamsTest {
+class UpstreamClientTest {
     private static final long LONG = 60_000_000_000L;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -44,25 +44,26 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private Upstreams upstreams(InetSocketAddress address, long connectTimeout, int most) throws Exception {
+    private UpstreamClient upstreams(InetSocketAddress address, long connectTimeout,
+            int most) throws Exception {
         SettingsReader settingsReader = new SettingsReader("caps.connectTimeout=" + connectTimeout
                 + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
-            Upstreams made = new Upstreams(loop, settingsReader, most);
+            UpstreamClient made = new UpstreamClient(loop, settingsReader, most);
             made.listed(1, address, 0, true);
             return made;
         }).get();
     }
 
-    private static Upstreams.Message get(String uri) {
+    private static UpstreamClient.Message get(String uri) {
         return left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
     }
 
-    private void send(Upstreams upstreams) {
-        loop.execute(() -> upstreams.send(1, get("/api/x"), LONG, this::ended));
+    private void send(UpstreamClient upstreamClient) {
+        loop.execute(() -> upstreamClient.send(1, get("/api/x"), LONG, this::ended));
     }
 
-    private void ended(Outcome outcome, Engine.Answer answer, float[] load) {
+    private void ended(Outcome outcome, RequestDispatcher.UpstreamResponse answer, float[] load) {
         reports.add(load);
         outcomes.add(outcome);
     }
@@ -84,20 +85,20 @@
     /** With more upstreams than connections, every one of them can still be reached. */
     @Test
     void idleConnectionsGiveWayToNeededOnes() throws Exception {
-        try (Stub first = Stub.serving("1"); Stub second = Stub.serving("2");
-                Stub third = Stub.serving("3")) {
-            Upstreams upstreams = upstreams(first.address(), LONG, 2);
+        try (FakeUpstream first = FakeUpstream.serving("1"); FakeUpstream second = FakeUpstream.serving("2");
+                FakeUpstream third = FakeUpstream.serving("3")) {
+            UpstreamClient upstreamClient = upstreams(first.address(), LONG, 2);
             loop.execute(() -> {
-                upstreams.listed(2, second.address(), 0, true);
-                upstreams.listed(3, third.address(), 0, true);
+                upstreamClient.listed(2, second.address(), 0, true);
+                upstreamClient.listed(3, third.address(), 0, true);
             });
             for (long id : new long[] {1, 2, 3, 2, 1}) {
-                loop.execute(() -> upstreams.send(id, get("/api/x"), LONG, this::ended));
-                assertEquals(Outcome.OK, Stub.next(outcomes), "upstream " + id);
-                Thread.sleep(Upstreams.SURPLUS_REST_MS);
+                loop.execute(() -> upstreamClient.send(id, get("/api/x"), LONG, this::ended));
+                assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "upstream " + id);
+                Thread.sleep(UpstreamClient.SURPLUS_REST_MS);
             }
-            Stub.next(first.ended);
-            Stub.next(third.ended);
+            FakeUpstream.next(first.ended);
+            FakeUpstream.next(third.ended);
             assertEquals(0, second.ended.size(), "only those idle for longest have given way");
         }
     }
@@ -108,12 +109,12 @@
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fillers = fill(full);
             InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
-            Upstreams upstreams = upstreams(address, LONG, 10);
-            send(upstreams);
-            loop.execute(() -> upstreams.listed(1, address, 0, false));
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
-            send(upstreams);
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes), "nor does a later one");
+            UpstreamClient upstreamClient = upstreams(address, LONG, 10);
+            send(upstreamClient);
+            loop.execute(() -> upstreamClient.listed(1, address, 0, false));
+            assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes));
+            send(upstreamClient);
+            assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes), "nor does a later one");
             for (Socket filler : fillers) {
                 filler.close();
             }
@@ -126,7 +127,7 @@
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fillers = fill(full);
             send(upstreams((InetSocketAddress) full.getLocalSocketAddress(), 100_000_000, 10));
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
+            assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes));
             for (Socket filler : fillers) {
                 filler.close();
             }
@@ -136,28 +137,28 @@
     /** A machine that vanished and came back under its address has not ended the connections to it. */
     @Test
     void connectionsToTheProcessBeforeARestartAreClosed() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
-            send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
-            loop.execute(() -> upstreams.listed(1, upstream.address(), 1_700_000_000_000L, true));
-            Stub.next(upstream.ended);
-            send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes), "on a new one");
+        try (FakeUpstream upstream = FakeUpstream.serving("x")) {
+            UpstreamClient upstreamClient = upstreams(upstream.address(), LONG, 10);
+            send(upstreamClient);
+            assertEquals(Outcome.OK, FakeUpstream.next(outcomes));
+            loop.execute(() -> upstreamClient.listed(1, upstream.address(), 1_700_000_000_000L, true));
+            FakeUpstream.next(upstream.ended);
+            send(upstreamClient);
+            assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "on a new one");
         }
     }
 
     /** Descriptors are few: over the limit an attempt is not sent, instead of the process running out. */
     @Test
     void connectionsAreBounded() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true)) {
-            Upstreams upstreams = upstreams(silent.address(), LONG, 2);
-            send(upstreams);
-            send(upstreams);
-            Stub.next(silent.heads);
-            Stub.next(silent.heads);
-            send(upstreams);
-            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+        try (FakeUpstream silent = new FakeUpstream((socket, head) -> true)) {
+            UpstreamClient upstreamClient = upstreams(silent.address(), LONG, 2);
+            send(upstreamClient);
+            send(upstreamClient);
+            FakeUpstream.next(silent.heads);
+            FakeUpstream.next(silent.heads);
+            send(upstreamClient);
+            assertEquals(Outcome.NEVER_SENT, FakeUpstream.next(outcomes));
         }
     }
 
@@ -165,16 +166,17 @@
     @Test
     void anAttemptGivenUpWhileWritingEndedTwice() throws Exception {
         try (ServerSocket unread = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Upstreams upstreams = upstreams((InetSocketAddress) unread.getLocalSocketAddress(), LONG, 10);
+            UpstreamClient upstreamClient = upstreams((InetSocketAddress) unread.getLocalSocketAddress(),
+                    LONG, 10);
             byte[] body = new byte[32 << 20];
-            Upstreams.Message large = left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+            UpstreamClient.Message large = left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.POST, "/api/x", Unpooled.wrappedBuffer(body));
-            Upstreams.Attempt attempt =
-                    loop.submit(() -> upstreams.send(1, large, LONG, this::ended)).get();
+            UpstreamClient.Attempt attempt =
+                    loop.submit(() -> upstreamClient.send(1, large, LONG, this::ended)).get();
             try (Socket accepted = unread.accept()) {
                 assertTrue(accepted.getInputStream().read() >= 0, "the request has begun to arrive");
                 loop.submit(attempt::cancel).sync();
-                assertEquals(Outcome.CANCELLED, Stub.next(outcomes));
+                assertEquals(Outcome.CANCELLED, FakeUpstream.next(outcomes));
                 loop.submit(() -> { }).sync();
                 assertNull(outcomes.poll(), "one outcome, and no more");
             }
@@ -186,21 +188,22 @@
     void loadReportsAreRead() throws Exception {
         List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}",
                 "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
-        try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /metrics/load")
-                ? Stub.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
-                : Stub.reply(socket, "200 OK", "Srv-Load: " + Stub.header(head, "Say") + "\r\n", "x"))) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
+        try (FakeUpstream upstream = new FakeUpstream((socket, head) -> head.startsWith("GET /metrics/load")
+                ? FakeUpstream.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
+                : FakeUpstream.reply(socket, "200 OK", "Srv-Load: " + FakeUpstream.header(head, "Say")
+                + "\r\n", "x"))) {
+            UpstreamClient upstreamClient = upstreams(upstream.address(), LONG, 10);
             for (String text : texts) {
                 FullHttpRequest request =
                         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
                 request.headers().set("Say", text);
-                loop.execute(() -> upstreams.send(1, left -> request, LONG, this::ended));
-                assertEquals(Outcome.OK, Stub.next(outcomes));
+                loop.execute(() -> upstreamClient.send(1, left -> request, LONG, this::ended));
+                assertEquals(Outcome.OK, FakeUpstream.next(outcomes));
                 assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0],
-                        Stub.next(reports));
+                        FakeUpstream.next(reports));
             }
-            loop.execute(() -> upstreams.probe(1, this::ended));
-            assertArrayEquals(new float[] {7, 0}, Stub.next(reports));
+            loop.execute(() -> upstreamClient.probe(1, this::ended));
+            assertArrayEquals(new float[] {7, 0}, FakeUpstream.next(reports));
         }
     }
 
@@ -208,27 +211,27 @@
     @Test
     void surplusAnswerIsNobodys() throws Exception {
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (FakeUpstream upstream = new FakeUpstream((socket, head) -> {
             String surplus = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nsurplus";
-            Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown"
+            FakeUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown"
                     + (head.startsWith("GET /first") ? surplus : ""));
             return true;
         })) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
-            Upstreams.Listener last = (outcome, answer, load) ->
+            UpstreamClient upstreamClient = upstreams(upstream.address(), LONG, 10);
+            UpstreamClient.Listener last = (outcome, answer, load) ->
                     bodies.add(new String(answer.body(), StandardCharsets.ISO_8859_1));
-            loop.execute(() -> upstreams.send(1, get("/first"), LONG, (outcome, answer, load) ->
-                    upstreams.send(1, get("/next"), LONG, last)));
-            assertEquals("own", Stub.next(bodies));
+            loop.execute(() -> upstreamClient.send(1, get("/first"), LONG, (outcome, answer, load) ->
+                    upstreamClient.send(1, get("/next"), LONG, last)));
+            assertEquals("own", FakeUpstream.next(bodies));
         }
     }
 
     /** An answer beyond what a body may hold must not fill the memory. */
     @Test
     void overlongAnswerIsAnError() throws Exception {
-        try (Stub upstream = Stub.serving("x".repeat(200_000))) {
+        try (FakeUpstream upstream = FakeUpstream.serving("x".repeat(200_000))) {
             send(upstreams(upstream.address(), LONG, 10));
-            assertEquals(false, Stub.next(outcomes).provesNeverRan());
+            assertEquals(false, FakeUpstream.next(outcomes).provesNeverRan());
         }
     }
 }
--- a/src/test/java/pondridge/sidecar/WarmUpTest.java
+++ b/src/test/java/pondridge/sidecar/WarmUpTest.java
@@ -32,22 +32,23 @@
 
     @Test
     void doneFollowsAlsoIfTheFrontendIsNotThere() throws Exception {
-        try (Stub gone = new Stub((socket, head) -> false)) {
-            run(Config.of(Bed.json()).settingsReader(), gone.address(), () -> ends.add("done"));
-            assertEquals("done", Stub.next(ends));
+        try (FakeUpstream gone = new FakeUpstream((socket, head) -> false)) {
+            run(Config.of(SidecarHarness.json()).settingsReader(), gone.address(), () -> ends.add("done"));
+            assertEquals("done", FakeUpstream.next(ends));
         }
     }
 
     @Test
     void whatCannotBeDoneIsToldInsteadOfDone() throws Exception {
-        try (Stub frontend = new Stub((socket, head) -> Stub.reply(socket, "400 Bad Request", "", ""))) {
+        try (FakeUpstream frontend = new FakeUpstream((socket, head) ->
+                FakeUpstream.reply(socket, "400 Bad Request", "", ""))) {
             run(new SettingsReader(""), frontend.address(), () -> ends.add("done"));
-            String end = Stub.next(ends);
+            String end = FakeUpstream.next(ends);
             assertTrue(end.startsWith("failed: ") && end.contains("profiles.count"), end);
-            run(Config.of(Bed.json()).settingsReader(), frontend.address(), () -> {
+            run(Config.of(SidecarHarness.json()).settingsReader(), frontend.address(), () -> {
                 throw new IllegalStateException("not ready");
             });
-            end = Stub.next(ends);
+            end = FakeUpstream.next(ends);
             assertTrue(end.startsWith("failed: ") && end.contains("not ready"), end);
         }
     }
