--- a/src/main/java/pondridge/testbed/TroubleMaker.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.locks.ReadWriteLock;
 import java.util.concurrent.locks.ReentrantReadWriteLock;
 import java.util.function.Consumer;
-import pondridge.testbed.History.State;
+import pondridge.testbed.RunHistory.State;
 
 /** Carries out the troubles of a plan on a fleet, each on a thread of its own so that they overlap. */
-final class TroubleMaker {
+final class FaultInjector {
     private static final Duration SMALL_STEP = Duration.ofSeconds(5);
     private static final Duration LARGE_STEP = Duration.ofHours(1);
     /** A sidecar is held up for up to 150 ms (standing test); the two signals take some of it. */
@@ -32,16 +32,16 @@
     private final List<Object> sidecarLocks = new ArrayList<>();
     private final List<Object> upstreamLocks = new ArrayList<>();
 
-    TroubleMaker(Fleet fleet) {
+    FaultInjector(Fleet fleet) {
         this.fleet = fleet;
         fleet.sidecars().forEach(each -> sidecarLocks.add(new Object()));
         fleet.upstreams().forEach(each -> upstreamLocks.add(new Object()));
     }
 
     /** Begins each trouble at its time and waits for the last one to end. */
-    void play(List<Trouble> troubles) {
+    void play(List<PlannedFault> troubles) {
         long startedAt = System.nanoTime();
-        for (Trouble trouble : troubles) {
+        for (PlannedFault trouble : troubles) {
             StubUpstream.sleep(trouble.atMs() - (System.nanoTime() - startedAt) / 1_000_000);
             threads.execute(() -> cause(trouble));
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    private void cause(Trouble trouble) {
+    private void cause(PlannedFault trouble) {
         try {
             if (trouble.kind().call() != null) {
                 failCalls(trouble);
@@ -65,7 +65,7 @@
         }
     }
 
-    private void failCalls(Trouble trouble) {
+    private void failCalls(PlannedFault trouble) {
         Duration time = Duration.ofMillis(trouble.lengthMs());
         Consumer<SidecarProcess> begin = switch (trouble.kind()) {
             // A Java machine whose files can't be opened while it starts does not start.
@@ -79,31 +79,31 @@
             default -> sidecar -> sidecar.faults().fail(trouble.kind().call(), trouble.kind().error(), time,
                     trouble.kind().perMille());
         };
-        if (trouble.target() == Trouble.ALL) {
+        if (trouble.target() == PlannedFault.ALL) {
             fleet.sidecars().forEach(begin);
         } else {
             begin.accept(sidecar(trouble));
         }
     }
 
-    private static Duration step(Trouble trouble) {
+    private static Duration step(PlannedFault trouble) {
         return trouble.target() % 2 == 0 ? SMALL_STEP : LARGE_STEP;
     }
 
-    private SidecarProcess sidecar(Trouble trouble) {
+    private SidecarProcess sidecar(PlannedFault trouble) {
         return fleet.sidecars().get(trouble.target() % fleet.sidecars().size());
     }
 
-    private int upstream(Trouble trouble) {
+    private int upstream(PlannedFault trouble) {
         return trouble.target() % fleet.upstreams().size();
     }
 
-    private void causeOutside(Trouble trouble) throws IOException {
+    private void causeOutside(PlannedFault trouble) throws IOException {
         int upstream = upstream(trouble);
         switch (trouble.kind()) {
             case STALL -> sidecar(trouble).stall(Math.min(LONGEST_STALL_MS, trouble.lengthMs()));
-            case UPSTREAM_TROUBLED -> inMood(upstream, UpstreamMood.TROUBLED, trouble.lengthMs());
-            case UPSTREAM_HUNG -> inMood(upstream, UpstreamMood.HUNG, trouble.lengthMs());
+            case UPSTREAM_TROUBLED -> inMood(upstream, UpstreamBehaviour.TROUBLED, trouble.lengthMs());
+            case UPSTREAM_HUNG -> inMood(upstream, UpstreamBehaviour.HUNG, trouble.lengthMs());
             case UPSTREAM_RESTART -> restartUpstream(upstream, trouble.lengthMs());
             case UPSTREAM_DRAIN -> drainUpstream(upstream, trouble.lengthMs());
             case PROXY_RESET -> fleet.proxies().get(upstream).resetConnections();
@@ -122,10 +122,10 @@
         }
     }
 
-    private void inMood(int upstream, UpstreamMood mood, long ms) {
+    private void inMood(int upstream, UpstreamBehaviour mood, long ms) {
         fleet.upstreams().get(upstream).mood(mood);
         StubUpstream.sleep(ms);
-        fleet.upstreams().get(upstream).mood(UpstreamMood.SOUND);
+        fleet.upstreams().get(upstream).mood(UpstreamBehaviour.SOUND);
     }
 
     /** The upstream's process dies and starts anew, cold. */
@@ -165,14 +165,14 @@
     }
 
     /** The sidecar can't open the new configuration for a moment; it has to follow all the same. */
-    private void reloadWhileFilesFail(Trouble trouble) throws IOException {
+    private void reloadWhileFilesFail(PlannedFault trouble) throws IOException {
         Duration time = Duration.ofMillis(Math.min(500, trouble.lengthMs()));
         fleet.sidecars().stream().filter(each -> each.life().readyAt != 0)
                 .forEach(each -> each.faults().fail(SystemFault.OPEN, Errno.EMFILE, time));
         reload();
     }
 
-    private void restartSidecar(Trouble trouble, boolean orderly) throws IOException {
+    private void restartSidecar(PlannedFault trouble, boolean orderly) throws IOException {
         SidecarProcess sidecar = sidecar(trouble);
         synchronized (sidecarLocks.get(sidecar.number())) {
             reloads.readLock().lock();
--- a/src/main/java/pondridge/testbed/FaultProxy.java
+++ b/src/main/java/pondridge/testbed/FaultProxy.java
@@ -17,13 +17,13 @@
     private static final long POLL_MS = 2;
 
     private final int targetPort;
-    private final Listener listener;
+    private final LoopbackServer listener;
     private volatile long answersHeldUntil;
     private volatile long piecesUntil;
 
     FaultProxy(String name, int targetPort) throws IOException {
         this.targetPort = targetPort;
-        this.listener = new Listener(name, this::serve);
+        this.listener = new LoopbackServer(name, this::serve);
     }
 
     InetSocketAddress address() {
@@ -51,10 +51,10 @@
     private void serve(Socket client) throws IOException {
         try (Socket upstream = new Socket(InetAddress.getLoopbackAddress(), targetPort)) {
             upstream.setTcpNoDelay(true);
-            Listener.thread("proxy-answers", () -> passAnswers(upstream, client));
+            LoopbackServer.thread("proxy-answers", () -> passAnswers(upstream, client));
             pass(client.getInputStream(), upstream.getOutputStream());
         } catch (IOException e) {
-            Listener.reset(client);
+            LoopbackServer.reset(client);
         }
     }
 
@@ -76,8 +76,8 @@
             client.close();
         } catch (IOException e) {
             // Either side reset the connection: so the other one learns it, too.
-            Listener.reset(client);
-            Listener.reset(upstream);
+            LoopbackServer.reset(client);
+            LoopbackServer.reset(upstream);
         }
     }
 
--- a/src/main/java/pondridge/testbed/Fleet.java
+++ b/src/main/java/pondridge/testbed/Fleet.java
@@ -19,7 +19,7 @@
 
     private final SidecarSettings settings;
     private final long seed;
-    private final History history = new History();
+    private final RunHistory history = new RunHistory();
     private final StubDiscovery discovery = new StubDiscovery();
     private final List<StubUpstream> upstreams = new ArrayList<>();
     private final List<FaultProxy> proxies = new ArrayList<>();
@@ -56,7 +56,7 @@
         Runtime.getRuntime().addShutdownHook(endAll);
     }
 
-    History history() {
+    RunHistory history() {
         return history;
     }
 
@@ -97,11 +97,11 @@
      * testbed are late by some hundred milliseconds.
      */
     private void warmUp() throws IOException {
-        History unused = new History();
+        RunHistory unused = new RunHistory();
         try (StubUpstream upstream = new StubUpstream("warm-up", unused, seed);
                 FaultProxy proxy = new FaultProxy("warm-up", upstream.port())) {
             LoadGenerator load = new LoadGenerator(0, proxy.address(), settings, unused, threads, "warm-up",
-                    LoadGenerator.Manners.MIXED);
+                    LoadGenerator.ClientMix.MIXED);
             load.start(WARM_UP_PER_SECOND);
             StubUpstream.sleep(WARM_UP_MS);
             load.stop();
@@ -127,7 +127,7 @@
     }
 
     /** Starts the clients of all sidecars, again after {@link #stopLoad}. */
-    void startLoad(int perSecond, LoadGenerator.Manners manners) {
+    void startLoad(int perSecond, LoadGenerator.ClientMix manners) {
         loadPhase++;
         for (SidecarProcess sidecar : sidecars) {
             String run = seed + "/" + loadPhase;
--- a/src/main/java/pondridge/testbed/Exchange.java
+++ b/src/main/java/pondridge/testbed/HttpExchange.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One client connection to a sidecar; carries one exchange after the other. */
-final class Exchange implements Closeable {
+final class HttpExchange implements Closeable {
     private static final int CONNECT_LIMIT_MS = 3_000;
 
     private final Socket socket = new Socket();
@@ -17,7 +17,7 @@
     private int exchanges;
     private long idleSince;
 
-    Exchange(InetSocketAddress address) throws IOException {
+    HttpExchange(InetSocketAddress address) throws IOException {
         try {
             socket.setTcpNoDelay(true);
             socket.connect(address, CONNECT_LIMIT_MS);
@@ -71,7 +71,7 @@
 
     /** Closes with a reset. */
     void reset() {
-        Listener.reset(socket);
+        LoopbackServer.reset(socket);
     }
 
     @Override
--- a/src/main/java/pondridge/testbed/Crowd.java
+++ b/src/main/java/pondridge/testbed/IdleClients.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /** Idle clients that hold connections to a sidecar and send nothing on them. */
-final class Crowd implements AutoCloseable {
-    private final List<Exchange> connections = new ArrayList<>();
+final class IdleClients implements AutoCloseable {
+    private final List<HttpExchange> connections = new ArrayList<>();
 
     /** Connects so many times, or as often as the sidecar lets it. */
-    Crowd(SidecarProcess sidecar, int size) {
+    IdleClients(SidecarProcess sidecar, int size) {
         try {
             for (int i = 0; i < size; i++) {
-                connections.add(new Exchange(sidecar.address()));
+                connections.add(new HttpExchange(sidecar.address()));
             }
         } catch (IOException e) {
             // The sidecar ends or takes no more; those that are in stay.
@@ -21,6 +21,6 @@
 
     @Override
     public void close() {
-        connections.forEach(Exchange::reset);
+        connections.forEach(HttpExchange::reset);
     }
 }
--- a/src/main/java/pondridge/testbed/Oracle.java
+++ b/src/main/java/pondridge/testbed/InvariantChecker.java
@@ -5,12 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pondridge.testbed.History.ListEvent;
-import pondridge.testbed.History.State;
+import pondridge.testbed.RunHistory.ListEvent;
+import pondridge.testbed.RunHistory.State;
 import pondridge.testbed.RequestRecord.End;
 
 /** Checks the invariants on what the testbed's parties saw. */
-final class Oracle {
+final class InvariantChecker {
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MS;
     /** An attempt may begin so long after its request has ended. */
@@ -21,13 +21,13 @@
     /** Each time limit is so much longer on sockets. */
     private static final long SOCKET_SLACK_MS = 50;
 
-    private final History history;
+    private final RunHistory history;
     private final List<SidecarProcess> sidecars;
     private final SidecarSettings settings;
     private final boolean crowded;
     private final List<Violation> violations = new ArrayList<>();
 
-    private Oracle(History history, List<SidecarProcess> sidecars, SidecarSettings settings,
+    private InvariantChecker(RunHistory history, List<SidecarProcess> sidecars, SidecarSettings settings,
             boolean crowded) {
         this.history = history;
         this.settings = settings;
@@ -40,9 +40,9 @@
      *
      * @param crowded whether idle clients filled the descriptors: new connections may be shut unread then
      */
-    static List<Violation> check(History history, List<SidecarProcess> sidecars, SidecarSettings settings,
+    static List<Violation> check(RunHistory history, List<SidecarProcess> sidecars, SidecarSettings settings,
             boolean crowded) {
-        Oracle oracle = new Oracle(history, sidecars, settings, crowded);
+        InvariantChecker oracle = new InvariantChecker(history, sidecars, settings, crowded);
         oracle.violations.addAll(history.observed());
         history.requests().forEach(oracle::checkRequest);
         oracle.checkList();
@@ -119,7 +119,7 @@
         if (attempts.size() > SidecarSettings.TRY_LIMIT) {
             broken(Invariant.NOT_DUPLICATED, request + ", attempts " + attempts);
         }
-        if (request.kind == RequestKind.BOOK) {
+        if (request.kind == RequestClass.BOOK) {
             long mayHaveRun = attempts.stream().filter(attempt -> !attempt.declined()).count();
             if (mayHaveRun > 1) {
                 broken(Invariant.NOT_DUPLICATED, request + ", attempts " + attempts);
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -29,16 +29,16 @@
     private final int sidecar;
     private final InetSocketAddress address;
     private final SidecarSettings settings;
-    private final History history;
+    private final RunHistory history;
     private final ExecutorService threads;
     private final String run;
-    private final Manners manners;
-    private final ArrayDeque<Exchange> resting = new ArrayDeque<>();
+    private final ClientMix manners;
+    private final ArrayDeque<HttpExchange> resting = new ArrayDeque<>();
     private volatile boolean stopped;
     private Thread pacer;
 
     /** How clients behave as a whole. */
-    enum Manners {
+    enum ClientMix {
         /** As {@link ClientBehaviour} draws it. */
         MIXED,
         /** Proper requests, on connections that are kept. */
@@ -50,8 +50,8 @@
     /**
      * @param run names the run and its seed
      */
-    LoadGenerator(int sidecar, InetSocketAddress address, SidecarSettings settings, History history,
-            ExecutorService threads, String run, Manners manners) {
+    LoadGenerator(int sidecar, InetSocketAddress address, SidecarSettings settings, RunHistory history,
+            ExecutorService threads, String run, ClientMix manners) {
         this.sidecar = sidecar;
         this.address = address;
         this.settings = settings;
@@ -64,7 +64,7 @@
     /** Begins; exchanges go on until {@link #stop}. */
     void start(int perSecond) {
         long interval = 1_000_000_000L / perSecond;
-        pacer = Listener.thread("load-" + sidecar, () -> {
+        pacer = LoopbackServer.thread("load-" + sidecar, () -> {
             long next = System.nanoTime();
             for (int number = 0; !stopped; number++) {
                 int mine = number;
@@ -87,15 +87,15 @@
 
     /** Closes the connections that are kept. */
     synchronized void closeResting() {
-        for (Exchange connection : resting) {
+        for (HttpExchange connection : resting) {
             connection.reset();
         }
         resting.clear();
     }
 
     private void exchange(int number) {
-        Random random = Seeds.random(number, run + "/" + sidecar);
-        ClientBehaviour behaviour = manners == Manners.MIXED ? ClientBehaviour.draw(random)
+        Random random = SeededRandom.random(number, run + "/" + sidecar);
+        ClientBehaviour behaviour = manners == ClientMix.MIXED ? ClientBehaviour.draw(random)
                 : ClientBehaviour.PROPER;
         switch (behaviour) {
             case SENDS_RUBBISH -> expectDismissal("NONSENSE\r\n\r\n", behaviour);
@@ -107,9 +107,9 @@
     }
 
     private RequestRecord newRequest(int number, int part, Random random) {
-        RequestKind kind = RequestKind.values()[random.nextInt(RequestKind.values().length)];
+        RequestClass kind = RequestClass.values()[random.nextInt(RequestClass.values().length)];
         int longest = settings.deadlineMs(kind);
-        boolean shorter = manners == Manners.MIXED && random.nextInt(4) == 0;
+        boolean shorter = manners == ClientMix.MIXED && random.nextInt(4) == 0;
         int deadlineMs = shorter ? longest / 2 + random.nextInt(longest / 2) : longest;
         String id = run + "-" + sidecar + "-" + number + "-" + part;
         return new RequestRecord(id, sidecar, kind, deadlineMs);
@@ -119,11 +119,11 @@
         String common = " /api/" + random.nextInt(1000) + " HTTP/1.1\r\nHost: app.svc\r\nReq-Id: "
                 + request.id + "\r\nReq-Kind: " + request.kind.settingName()
                 + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + request.deadlineMs + "\r\n";
-        if (request.kind == RequestKind.LOOK) {
+        if (request.kind == RequestClass.LOOK) {
             return "GET" + common + "\r\n";
         }
         String body = "y".repeat(random.nextInt(LARGEST_BODY));
-        String key = request.kind == RequestKind.HOLD ? "Idempotency-Key: " + request.id + "\r\n" : "";
+        String key = request.kind == RequestClass.HOLD ? "Idempotency-Key: " + request.id + "\r\n" : "";
         return "POST" + common + key + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -137,7 +137,7 @@
         RequestRecord request = newRequest(number, 0, random);
         String text = text(request, random);
         int leaveAfterMs = random.nextInt(Math.max(1, request.deadlineMs / 4));
-        Exchange connection = take();
+        HttpExchange connection = take();
         if (connection == null) {
             return;
         }
@@ -145,7 +145,7 @@
         boolean again = attempt(request, text, behaviour, leaveAfterMs, connection);
         if (again) {
             // The sidecar's close crossed the request on a resting connection: once more, on a new one.
-            Exchange fresh = open();
+            HttpExchange fresh = open();
             if (fresh == null || attempt(request, text, behaviour, leaveAfterMs, fresh)) {
                 request.end(End.NOT_TAKEN, "closed twice before it was read");
             }
@@ -154,7 +154,7 @@
 
     /** True if the connection was closed over the unread request and it may be sent again. */
     private boolean attempt(RequestRecord request, String text, ClientBehaviour behaviour, int leaveAfterMs,
-            Exchange connection) {
+            HttpExchange connection) {
         boolean used = connection.used();
         try {
             if (behaviour == ClientBehaviour.WRITES_SLOWLY) {
@@ -183,7 +183,7 @@
         return false;
     }
 
-    private void leave(RequestRecord request, boolean withReset, int afterMs, Exchange connection) {
+    private void leave(RequestRecord request, boolean withReset, int afterMs, HttpExchange connection) {
         StubUpstream.sleep(afterMs);
         request.end(End.LEFT, "");
         if (withReset) {
@@ -194,7 +194,7 @@
     }
 
     /** How the request ended; the connection may carry on if it was answered and nothing says otherwise. */
-    private End readAnswer(RequestRecord request, Exchange connection) {
+    private End readAnswer(RequestRecord request, HttpExchange connection) {
         long until = request.sentAt + (request.deadlineMs + ANSWER_SLACK_MS) * 1_000_000L;
         try {
             HttpMessage answer = connection.read(until);
@@ -219,9 +219,9 @@
         }
     }
 
-    private void finish(RequestRecord request, Exchange connection, End how) {
+    private void finish(RequestRecord request, HttpExchange connection, End how) {
         boolean keeps = (how == End.SERVED || how == End.REFUSED || how == End.FAILED)
-                && !request.detail.equals("closes") && manners != Manners.PROPER_ON_NEW_CONNECTIONS;
+                && !request.detail.equals("closes") && manners != ClientMix.PROPER_ON_NEW_CONNECTIONS;
         request.end(how, request.detail);
         if (keeps) {
             rest(connection);
@@ -232,7 +232,7 @@
 
     /** Several requests at once; what a close leaves unanswered behind an announced end was not taken. */
     private void runAhead(int number, ClientBehaviour behaviour, Random random) {
-        Exchange connection = open();
+        HttpExchange connection = open();
         if (connection == null) {
             return;
         }
@@ -264,7 +264,7 @@
         closeQuietly(connection);
     }
 
-    private void readInTurn(List<RequestRecord> requests, int answered, Exchange connection) {
+    private void readInTurn(List<RequestRecord> requests, int answered, HttpExchange connection) {
         End last = End.OPEN;
         boolean announced = false;
         for (RequestRecord request : requests.subList(0, answered)) {
@@ -280,7 +280,7 @@
 
     private void expectDismissal(String text, ClientBehaviour behaviour) {
         long startedAt = System.nanoTime();
-        try (Exchange connection = new Exchange(address)) {
+        try (HttpExchange connection = new HttpExchange(address)) {
             long connectedAt = System.nanoTime();
             connection.send(text);
             HttpMessage answer = connection.read(connectedAt + BAD_CLIENT_LIMIT_MS * 1_000_000L);
@@ -297,10 +297,10 @@
     }
 
     /** A connection that rests, or a new one; null where none can be had. */
-    private Exchange take() {
+    private HttpExchange take() {
         synchronized (this) {
             while (!resting.isEmpty()) {
-                Exchange connection = resting.pollLast();
+                HttpExchange connection = resting.pollLast();
                 if (connection.idleMs() < LONGEST_REST_MS) {
                     return connection;
                 }
@@ -310,20 +310,20 @@
         return open();
     }
 
-    private synchronized void rest(Exchange connection) {
+    private synchronized void rest(HttpExchange connection) {
         connection.done();
         resting.addLast(connection);
     }
 
-    private Exchange open() {
+    private HttpExchange open() {
         try {
-            return new Exchange(address);
+            return new HttpExchange(address);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private static void closeQuietly(Exchange connection) {
+    private static void closeQuietly(HttpExchange connection) {
         try {
             connection.close();
         } catch (IOException e) {
--- a/src/main/java/pondridge/testbed/Listener.java
+++ b/src/main/java/pondridge/testbed/LoopbackServer.java
@@ -13,7 +13,7 @@
  * Accepts connections on a port of the loopback address and serves each on a thread of its own, until it is
  * stopped as a process that dies: connections are reset and new ones refused. It can start again on its port.
  */
-final class Listener implements AutoCloseable {
+final class LoopbackServer implements AutoCloseable {
     private static final int BACKLOG = 1024;
     private static final int MOST_BIND_FAILURES = 500;
     private static final long BIND_RETRY_MS = 10;
@@ -30,7 +30,7 @@
     private final int port;
     private volatile ServerSocket server;
 
-    Listener(String name, Service service) throws IOException {
+    LoopbackServer(String name, Service service) throws IOException {
         this.name = name;
         this.service = service;
         port = Ports.free();
--- a/src/main/java/pondridge/testbed/Trouble.java
+++ b/src/main/java/pondridge/testbed/PlannedFault.java
@@ -7,11 +7,11 @@
  * @param lengthMs how long it lasts; what happens at once ignores it
  * @param target a number that chooses the sidecar or upstream, modulo their count; {@link #ALL} for all
  */
-record Trouble(Kind kind, long atMs, long lengthMs, int target) {
+record PlannedFault(Type kind, long atMs, long lengthMs, int target) {
     static final int ALL = -1;
 
     /** What can go wrong; those of system calls name the call and the error. */
-    enum Kind {
+    enum Type {
         ACCEPT_ENFILE(SystemFault.ACCEPT, Errno.ENFILE, 1000),
         ACCEPT_ENOBUFS(SystemFault.ACCEPT, Errno.ENOBUFS, 700),
         ACCEPT_ECONNABORTED(SystemFault.ACCEPT, Errno.ECONNABORTED, 500),
@@ -55,11 +55,11 @@
         private final Errno error;
         private final int perMille;
 
-        Kind() {
+        Type() {
             this(null, null, 0);
         }
 
-        Kind(SystemFault call, Errno error, int perMille) {
+        Type(SystemFault call, Errno error, int perMille) {
             this.call = call;
             this.error = error;
             this.perMille = perMille;
--- a/src/main/java/pondridge/testbed/RequestKind.java
+++ b/src/main/java/pondridge/testbed/RequestClass.java
@@ -1,7 +1,7 @@
 package pondridge.testbed;
 
 /** The classes of request in the testbed's settings, one for each effect that a class may have. */
-enum RequestKind {
+enum RequestClass {
     /** Safe to repeat. */
     LOOK("repeatable"),
     /** Repeats are dropped by their key. */
@@ -11,7 +11,7 @@
 
     private final String semantics;
 
-    RequestKind(String semantics) {
+    RequestClass(String semantics) {
         this.semantics = semantics;
     }
 
--- a/src/main/java/pondridge/testbed/RequestRecord.java
+++ b/src/main/java/pondridge/testbed/RequestRecord.java
@@ -26,7 +26,7 @@
 
     final String id;
     final int sidecar;
-    final RequestKind kind;
+    final RequestClass kind;
     final int deadlineMs;
     volatile long sentAt;
     volatile long endedAt;
@@ -35,7 +35,7 @@
     volatile long servedAttempt = -1;
     volatile String detail = "";
 
-    RequestRecord(String id, int sidecar, RequestKind kind, int deadlineMs) {
+    RequestRecord(String id, int sidecar, RequestClass kind, int deadlineMs) {
         this.id = id;
         this.sidecar = sidecar;
         this.kind = kind;
--- a/src/main/java/pondridge/testbed/Usage.java
+++ b/src/main/java/pondridge/testbed/ResourceUsage.java
@@ -5,11 +5,11 @@
  *
  * @param peakMemoryKb the most memory that it has held, in kilobytes
  */
-record Usage(int descriptors, long peakMemoryKb, long cpuMs) {
+record ResourceUsage(int descriptors, long peakMemoryKb, long cpuMs) {
     private static final int KB_PER_MB = 1024;
 
-    static Usage of(SidecarProcess sidecar) {
-        return new Usage(sidecar.openDescriptors(), sidecar.peakMemoryKb(), sidecar.cpuMs());
+    static ResourceUsage of(SidecarProcess sidecar) {
+        return new ResourceUsage(sidecar.openDescriptors(), sidecar.peakMemoryKb(), sidecar.cpuMs());
     }
 
     @Override
--- a/src/main/java/pondridge/testbed/History.java
+++ b/src/main/java/pondridge/testbed/RunHistory.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** All that the testbed's parties saw in one run, for the invariants to be checked on. */
-final class History {
+final class RunHistory {
     /** The list's word on an upstream: when it became so, and when it counts as told. */
     record ListEvent(String upstream, State state, long happenedAt, long toldAt) { }
 
--- a/src/main/java/pondridge/testbed/Seeds.java
+++ b/src/main/java/pondridge/testbed/SeededRandom.java
@@ -3,10 +3,10 @@
 import java.util.Random;
 
 /** Random numbers that depend on a seed and on what they are for, not on the order in which threads run. */
-final class Seeds {
+final class SeededRandom {
     private static final long MULTIPLIER = 0x9e3779b97f4a7c15L;
 
-    private Seeds() { }
+    private SeededRandom() { }
 
     static Random random(long seed, Object purpose) {
         long mixed = (seed + 1) * MULTIPLIER ^ purpose.hashCode() * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/pondridge/testbed/SidecarSettings.java
+++ b/src/main/java/pondridge/testbed/SidecarSettings.java
@@ -8,7 +8,7 @@
 /**
  * What the sidecars of one run are set to, in the form of the configuration file. Times in milliseconds.
  *
- * @param deadlinesMs the longest wait of each {@link RequestKind}, in their order
+ * @param deadlinesMs the longest wait of each {@link RequestClass}, in their order
  * @param descriptors how many file descriptors a sidecar may hold
  * @param mayCancel whether attempts that are out may be withdrawn
  * @param overloadFactor how many times its present capacity makes a cold upstream fall
@@ -28,7 +28,7 @@
     private static final long NANOS_PER_MS = 1_000_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    int deadlineMs(RequestKind kind) {
+    int deadlineMs(RequestClass kind) {
         return deadlinesMs.get(kind.ordinal());
     }
 
@@ -63,7 +63,7 @@
                 .put("rampTime", RAMP_MS * NANOS_PER_MS).put("overloadFactor", overloadFactor)
                 .put("tipAfter", TIP_AFTER_MS * NANOS_PER_MS).put("askWithin", 4_000 * NANOS_PER_MS);
         ArrayNode profiles = settings.putArray("profiles");
-        for (RequestKind kind : RequestKind.values()) {
+        for (RequestClass kind : RequestClass.values()) {
             long deadlineNs = deadlineMs(kind) * NANOS_PER_MS;
             profiles.add(JSON.createObjectNode().put("name", kind.settingName()).put("slo", deadlineNs / 2)
                     .put("deadline", deadlineNs).put("lateShare", 0.5).put("semantics", kind.semantics())
--- a/src/main/java/pondridge/testbed/Soak.java
+++ b/src/main/java/pondridge/testbed/Soak.java
@@ -36,11 +36,11 @@
                 logs())) {
             fleet.start();
             StubUpstream.sleep(SETTLE_MS);
-            fleet.startLoad(plan.perSecond(), LoadGenerator.Manners.MIXED);
+            fleet.startLoad(plan.perSecond(), LoadGenerator.ClientMix.MIXED);
             makeTrouble(fleet);
             StubUpstream.sleep(QUIET_LOAD_MS);
             fleet.stopLoad();
-            List<Usage> usages = expectRelease(fleet);
+            List<ResourceUsage> usages = expectRelease(fleet);
             endUnderLoad(fleet);
             return report(fleet, usages);
         }
@@ -56,8 +56,8 @@
     }
 
     private void makeTrouble(Fleet fleet) {
-        Thread crowd = plan.crowded() ? Listener.thread("crowd", () -> crowd(fleet)) : null;
-        new TroubleMaker(fleet).play(plan.troubles());
+        Thread crowd = plan.crowded() ? LoopbackServer.thread("crowd", () -> crowd(fleet)) : null;
+        new FaultInjector(fleet).play(plan.troubles());
         if (crowd != null) {
             try {
                 crowd.join();
@@ -69,20 +69,20 @@
     }
 
     private void crowd(Fleet fleet) {
-        List<Crowd> crowds = new ArrayList<>();
+        List<IdleClients> crowds = new ArrayList<>();
         for (int i = 0; i < fleet.sidecars().size(); i += 2) {
-            crowds.add(new Crowd(fleet.sidecars().get(i), plan.settings().descriptors() / 2));
+            crowds.add(new IdleClients(fleet.sidecars().get(i), plan.settings().descriptors() / 2));
         }
         StubUpstream.sleep(CROWD_MS);
-        crowds.forEach(Crowd::close);
+        crowds.forEach(IdleClients::close);
     }
 
     /** What each sidecar uses after a rest. */
-    private List<Usage> expectRelease(Fleet fleet) throws IOException {
+    private List<ResourceUsage> expectRelease(Fleet fleet) throws IOException {
         StubUpstream.sleep(RELEASE_MS);
-        List<Usage> usages = new ArrayList<>();
+        List<ResourceUsage> usages = new ArrayList<>();
         for (SidecarProcess sidecar : fleet.sidecars()) {
-            Usage usage = Usage.of(sidecar);
+            ResourceUsage usage = ResourceUsage.of(sidecar);
             usages.add(usage);
             String name = "sidecar " + sidecar.number();
             if (usage.descriptors() > RESTING_DESCRIPTORS) {
@@ -102,15 +102,15 @@
     }
 
     private void endUnderLoad(Fleet fleet) {
-        fleet.startLoad(plan.perSecond(), LoadGenerator.Manners.MIXED);
+        fleet.startLoad(plan.perSecond(), LoadGenerator.ClientMix.MIXED);
         StubUpstream.sleep(TimeUnit.SECONDS.toMillis(1));
-        TroubleMaker.terminateAll(fleet);
+        FaultInjector.terminateAll(fleet);
         fleet.stopLoad();
     }
 
-    private SoakReport report(Fleet fleet, List<Usage> usages) throws IOException {
-        List<Violation> violations = Oracle.check(fleet.history(), fleet.sidecars(), plan.settings(),
-                plan.crowded());
+    private SoakReport report(Fleet fleet, List<ResourceUsage> usages) throws IOException {
+        List<Violation> violations = InvariantChecker.check(fleet.history(), fleet.sidecars(),
+                plan.settings(), plan.crowded());
         SoakReport report = new SoakReport(plan, fleet.history(), violations);
         for (SidecarProcess sidecar : fleet.sidecars()) {
             report.add(sidecar, usages.get(sidecar.number()));
--- a/src/main/java/pondridge/testbed/SoakPlan.java
+++ b/src/main/java/pondridge/testbed/SoakPlan.java
@@ -14,7 +14,7 @@
  * @param crowded whether idle clients fill the descriptors of some sidecars
  */
 record SoakPlan(long seed, int sidecars, int upstreams, long troubledMs, int perSecond,
-        SidecarSettings settings, int stuckLogs, boolean crowded, List<Trouble> troubles) {
+        SidecarSettings settings, int stuckLogs, boolean crowded, List<PlannedFault> troubles) {
     private static final int LONGEST_CALL_FAULT_MS = 400;
     private static final int LONGEST_TROUBLE_MS = 3_000;
     private static final int SHORTEST_MS = 50;
@@ -25,33 +25,34 @@
     record Size(int sidecars, int upstreams, int troubledSeconds, int perSecond, int troublesPerSecond) { }
 
     static SoakPlan draw(long seed, Size size, boolean crowded) {
-        Random random = Seeds.random(seed, "plan");
+        Random random = SeededRandom.random(seed, "plan");
         List<Integer> deadlines = new ArrayList<>();
-        for (RequestKind kind : RequestKind.values()) {
+        for (RequestClass kind : RequestClass.values()) {
             deadlines.add(DEADLINES_MS[random.nextInt(DEADLINES_MS.length)]);
         }
         int descriptors = DESCRIPTORS[random.nextInt(DESCRIPTORS.length)];
         SidecarSettings settings = new SidecarSettings(deadlines, descriptors, random.nextInt(4) > 0,
                 1.5 + random.nextInt(4) / 2.0);
         long troubledMs = size.troubledSeconds() * 1_000L;
-        List<Trouble> troubles = new ArrayList<>();
+        List<PlannedFault> troubles = new ArrayList<>();
         for (int i = 0; i < size.troubledSeconds() * size.troublesPerSecond(); i++) {
             troubles.add(trouble(random, troubledMs));
         }
-        troubles.sort(Comparator.comparingLong(Trouble::atMs));
+        troubles.sort(Comparator.comparingLong(PlannedFault::atMs));
         return new SoakPlan(seed, size.sidecars(), size.upstreams(), troubledMs, size.perSecond(), settings,
                 Math.max(1, size.sidecars() / 10), crowded, List.copyOf(troubles));
     }
 
-    private static Trouble trouble(Random random, long troubledMs) {
-        Trouble.Kind kind = Trouble.Kind.values()[random.nextInt(Trouble.Kind.values().length)];
+    private static PlannedFault trouble(Random random, long troubledMs) {
+        PlannedFault.Type kind =
+                PlannedFault.Type.values()[random.nextInt(PlannedFault.Type.values().length)];
         int longest = kind.call() == null ? LONGEST_TROUBLE_MS : LONGEST_CALL_FAULT_MS;
         if (kind.call() == SystemFault.WALL_CLOCK) {
             longest = LONGEST_TROUBLE_MS;
         }
         long length = SHORTEST_MS + random.nextInt(longest);
         boolean all = kind.call() != null && random.nextInt(4) == 0;
-        return new Trouble(kind, (long) (random.nextDouble() * troubledMs), length,
-                all ? Trouble.ALL : random.nextInt(1 << 20));
+        return new PlannedFault(kind, (long) (random.nextDouble() * troubledMs), length,
+                all ? PlannedFault.ALL : random.nextInt(1 << 20));
     }
 }
--- a/src/main/java/pondridge/testbed/SoakReport.java
+++ b/src/main/java/pondridge/testbed/SoakReport.java
@@ -26,7 +26,7 @@
     private final List<String> resources = new ArrayList<>();
     private int attempts;
 
-    SoakReport(SoakPlan plan, History history, List<Violation> violations) {
+    SoakReport(SoakPlan plan, RunHistory history, List<Violation> violations) {
         this.plan = plan;
         this.violations = violations;
         this.attempts = history.attempts().size();
@@ -40,7 +40,7 @@
     }
 
     /** Takes which calls were made to fail in one sidecar, and what it used. */
-    void add(SidecarProcess sidecar, Usage usage) {
+    void add(SidecarProcess sidecar, ResourceUsage usage) {
         sidecar.faults().hits().forEach((fault, count) -> injected.merge(fault, count, Long::sum));
         resources.add("sidecar " + sidecar.number() + ": " + usage);
     }
--- a/src/main/java/pondridge/testbed/StubDiscovery.java
+++ b/src/main/java/pondridge/testbed/StubDiscovery.java
@@ -31,7 +31,7 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final TreeMap<Long, Entry> changes = new TreeMap<>();
     private long rev = 1;
-    private volatile Listener listener;
+    private volatile LoopbackServer listener;
     /** Watches opened before this time say nothing any more. */
     private volatile long silencedAt = Long.MIN_VALUE;
 
@@ -39,8 +39,8 @@
         listener = listen();
     }
 
-    private Listener listen() throws IOException {
-        return new Listener("discovery", this::serve);
+    private LoopbackServer listen() throws IOException {
+        return new LoopbackServer("discovery", this::serve);
     }
 
     String endpoint() {
@@ -87,10 +87,10 @@
 
     /** Goes on at another address; the old one takes no new connections and ends open ones later. */
     void move(long oldEndsAfterMs) throws IOException {
-        Listener old = listener;
+        LoopbackServer old = listener;
         listener = listen();
         old.stopAccepting();
-        Listener.thread("discovery-old", () -> {
+        LoopbackServer.thread("discovery-old", () -> {
             StubUpstream.sleep(oldEndsAfterMs);
             old.resetConnections();
         });
--- a/src/main/java/pondridge/testbed/StubUpstream.java
+++ b/src/main/java/pondridge/testbed/StubUpstream.java
@@ -17,16 +17,16 @@
     private static final long SURPLUS_DELAY_MS = 3;
 
     private final String uid;
-    private final History history;
+    private final RunHistory history;
     private final long seed;
-    private final Listener listener;
-    private volatile UpstreamMood mood = UpstreamMood.SOUND;
+    private final LoopbackServer listener;
+    private volatile UpstreamBehaviour mood = UpstreamBehaviour.SOUND;
 
-    StubUpstream(String uid, History history, long seed) throws IOException {
+    StubUpstream(String uid, RunHistory history, long seed) throws IOException {
         this.uid = uid;
         this.history = history;
         this.seed = seed;
-        this.listener = new Listener(uid, this::serve);
+        this.listener = new LoopbackServer(uid, this::serve);
     }
 
     String uid() {
@@ -37,7 +37,7 @@
         return listener.port();
     }
 
-    void mood(UpstreamMood next) {
+    void mood(UpstreamBehaviour next) {
         mood = next;
     }
 
@@ -78,27 +78,28 @@
             history.report(new Violation(Invariant.GENUINE, uid + " got an id that no client sent: " + id));
         }
         long number = history.nextAttemptNumber();
-        Random random = Seeds.random(seed, id + uid);
-        UpstreamMood.Fate fate = mood.draw(random);
+        Random random = SeededRandom.random(seed, id + uid);
+        UpstreamBehaviour.Disposition fate = mood.draw(random);
         long toldMs = Long.parseLong(request.headers().getOrDefault("req-deadline-ms", "-1"));
         history.add(new AttemptRecord(number, id, uid, firstByteAt, lastByteAt, toldMs,
-                fate == UpstreamMood.Fate.DECLINE));
-        if (fate != UpstreamMood.Fate.DECLINE) {
+                fate == UpstreamBehaviour.Disposition.DECLINE));
+        if (fate != UpstreamBehaviour.Disposition.DECLINE) {
             sleep(mood.serviceMs(random));
         }
         return carryOut(fate, connection, body(id, number, random));
     }
 
-    private boolean carryOut(UpstreamMood.Fate fate, Socket connection, String body) throws IOException {
+    private boolean carryOut(UpstreamBehaviour.Disposition fate, Socket connection, String body)
+            throws IOException {
         String whole = response("200 OK", "", body);
         switch (fate) {
             case ERROR -> write(connection, response("500 Internal Server Error", "", ""));
             case DECLINE -> write(connection,
                     response("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
-            case RESET -> Listener.reset(connection);
+            case RESET -> LoopbackServer.reset(connection);
             case RESET_IN_ANSWER -> {
                 write(connection, whole.substring(0, whole.length() - 2));
-                Listener.reset(connection);
+                LoopbackServer.reset(connection);
             }
             case HANG -> awaitEnd(connection);
             case SPOIL -> write(connection, "HTTP/1.1 200 OK\r\nno header at all\r\n\r\n" + body);
@@ -117,7 +118,8 @@
             }
             default -> write(connection, whole);
         }
-        return fate != UpstreamMood.Fate.RESET && fate != UpstreamMood.Fate.RESET_IN_ANSWER;
+        return fate != UpstreamBehaviour.Disposition.RESET
+                && fate != UpstreamBehaviour.Disposition.RESET_IN_ANSWER;
     }
 
     private static void awaitEnd(Socket connection) throws IOException {
--- a/src/main/java/pondridge/testbed/UpstreamMood.java
+++ b/src/main/java/pondridge/testbed/UpstreamBehaviour.java
@@ -18,31 +18,32 @@
  * @param shortestMs shortest time to an answer
  * @param longestMs longest time to an answer
  */
-record UpstreamMood(int error, int decline, int reset, int resetInAnswer, int hang, int spoil, int surplus,
-        int unframed, int closeAfter, int shortestMs, int longestMs) {
-    static final UpstreamMood SOUND = new UpstreamMood(0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 20);
+record UpstreamBehaviour(int error, int decline, int reset, int resetInAnswer, int hang, int spoil,
+        int surplus, int unframed, int closeAfter, int shortestMs, int longestMs) {
+    static final UpstreamBehaviour SOUND = new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 20);
     /** What goes wrong in the middle of trouble, beside one or two things that stand out. */
-    static final UpstreamMood TROUBLED = new UpstreamMood(30, 30, 30, 20, 20, 20, 20, 30, 100, 2, 60);
+    static final UpstreamBehaviour TROUBLED =
+            new UpstreamBehaviour(30, 30, 30, 20, 20, 20, 20, 30, 100, 2, 60);
     /** As SOUND, but each connection serves few requests: new ones are needed all the time. */
-    static final UpstreamMood CLOSING = new UpstreamMood(0, 0, 0, 0, 0, 0, 0, 200, 0, 2, 20);
+    static final UpstreamBehaviour CLOSING = new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 200, 0, 2, 20);
     /** Nothing is answered. */
-    static final UpstreamMood HUNG = new UpstreamMood(0, 0, 0, 0, 1000, 0, 0, 0, 0, 2, 20);
+    static final UpstreamBehaviour HUNG = new UpstreamBehaviour(0, 0, 0, 0, 1000, 0, 0, 0, 0, 2, 20);
 
     /** What becomes of one request. */
-    enum Fate {
+    enum Disposition {
         ERROR, DECLINE, RESET, RESET_IN_ANSWER, HANG, SPOIL, SURPLUS, UNFRAMED, CLOSE_AFTER, SERVE
     }
 
-    Fate draw(Random random) {
+    Disposition draw(Random random) {
         int[] parts = {error, decline, reset, resetInAnswer, hang, spoil, surplus, unframed, closeAfter};
         int drawn = random.nextInt(1000);
         for (int i = 0; i < parts.length; i++) {
             drawn -= parts[i];
             if (drawn < 0) {
-                return Fate.values()[i];
+                return Disposition.values()[i];
             }
         }
-        return Fate.SERVE;
+        return Disposition.SERVE;
     }
 
     int serviceMs(Random random) {
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
-import pondridge.testbed.LoadGenerator.Manners;
+import pondridge.testbed.LoadGenerator.ClientMix;
 import pondridge.testbed.RequestRecord.End;
 
 /** A real sidecar under one kind of fault at a time; tests are named after the failure they guard against. */
@@ -47,7 +47,7 @@
     /** Plays bursts under load; nothing may break, and nearly everything has to be served. */
     private SoakReport play(Fleet fleet, Burst burst) throws IOException {
         fleet.start();
-        fleet.startLoad(PER_SECOND, Manners.PROPER_ON_NEW_CONNECTIONS);
+        fleet.startLoad(PER_SECOND, ClientMix.PROPER_ON_NEW_CONNECTIONS);
         for (int i = 0; i < BURSTS; i++) {
             StubUpstream.sleep(BURST_SPACING_MS);
             burst.begin(fleet);
@@ -56,12 +56,12 @@
         fleet.stopLoad();
         SoakPlan plan = new SoakPlan(SEED, 1, 4, 0, PER_SECOND, SHORT_DEADLINES, 0, false, List.of());
         SoakReport report = new SoakReport(plan, fleet.history(), check(fleet));
-        report.add(fleet.sidecars().get(0), Usage.of(fleet.sidecars().get(0)));
+        report.add(fleet.sidecars().get(0), ResourceUsage.of(fleet.sidecars().get(0)));
         return report;
     }
 
     private static List<Violation> check(Fleet fleet) {
-        return Oracle.check(fleet.history(), fleet.sidecars(), fleet.settings(), false);
+        return InvariantChecker.check(fleet.history(), fleet.sidecars(), fleet.settings(), false);
     }
 
     private static void expectServed(SoakReport report) {
@@ -73,7 +73,7 @@
     private void expectHarmless(SystemFault fault, Errno error, Duration time, int perMille)
             throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamMood.CLOSING));
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.CLOSING));
             SoakReport report = play(fleet, failing(fault, error, time, perMille));
             assertTrue(report.injected(fault) > 0, "the fault was never injected");
             expectServed(report);
@@ -148,7 +148,7 @@
     @Test
     void requestsWereLostWhenTheLogsDiskWasFull() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FULL_DISK)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamMood.TROUBLED));
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.TROUBLED));
             SoakReport report = play(fleet, failing(SystemFault.LOG_WRITE, Errno.EIO, LONG, 1000));
             assertTrue(report.injected(SystemFault.LOG_WRITE) > 0, "the fault was never injected");
             assertEquals(List.of(), report.violations(), report::text);
@@ -160,7 +160,7 @@
     void aLateSecondAnswerWasServedToTheNextRequest() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
             fleet.upstreams().forEach(upstream -> upstream.mood(
-                    new UpstreamMood(0, 0, 0, 0, 0, 0, 300, 0, 0, 2, 20)));
+                    new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 300, 0, 0, 2, 20)));
             expectServed(play(fleet, each -> { }));
         }
     }
@@ -170,9 +170,9 @@
     void everyRequestWasLostWhenNobodyReadTheLog() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.STUCK_PIPE)) {
             // Errors are logged, and fill the pipe.
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamMood.HUNG));
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HUNG));
             SoakReport report = play(fleet, each -> each.upstreams()
-                    .forEach(upstream -> upstream.mood(UpstreamMood.SOUND)));
+                    .forEach(upstream -> upstream.mood(UpstreamBehaviour.SOUND)));
             assertEquals(List.of(), report.violations(), report::text);
         }
     }
@@ -182,12 +182,12 @@
     void drainWasMissedAfterAWatchFoundNoSocket() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
             fleet.start();
-            fleet.startLoad(PER_SECOND, Manners.PROPER);
+            fleet.startLoad(PER_SECOND, ClientMix.PROPER);
             fleet.sidecars().get(0).faults().fail(SystemFault.SOCKET, Errno.ENOBUFS, LONG);
             fleet.discovery().resetWatches();
             StubUpstream.sleep(2 * LONG.toMillis());
             fleet.list(0, "DRAINING", 0);
-            fleet.history().told(fleet.upstreams().get(0).uid(), History.State.DRAINING);
+            fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
             assertEquals(List.of(), check(fleet));
@@ -217,9 +217,9 @@
             fleet.sidecars().get(0).faults().fail(SystemFault.OPEN, Errno.EMFILE, Duration.ofMillis(500));
             fleet.moveDiscovery(1);
             StubUpstream.sleep(4_000);
-            fleet.startLoad(PER_SECOND, Manners.PROPER);
+            fleet.startLoad(PER_SECOND, ClientMix.PROPER);
             fleet.list(0, "DRAINING", 0);
-            fleet.history().told(fleet.upstreams().get(0).uid(), History.State.DRAINING);
+            fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
             assertEquals(List.of(), check(fleet));
@@ -252,7 +252,7 @@
     private void restartBehindStep(Duration sidecarsStep, Duration discoverysStep) throws IOException {
         try (Fleet fleet = new Fleet(SHORT_DEADLINES, 1, 3, SEED, folder, List.of())) {
             fleet.start();
-            fleet.startLoad(2 * PER_SECOND, Manners.PROPER);
+            fleet.startLoad(2 * PER_SECOND, ClientMix.PROPER);
             StubUpstream.sleep(1_000);
             fleet.list(0, "SERVING", System.currentTimeMillis());
             StubUpstream.sleep(1_000);
@@ -260,7 +260,7 @@
             fleet.upstreams().get(0).crash();
             fleet.upstreams().get(0).startAgain();
             fleet.list(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
-            fleet.history().told(fleet.upstreams().get(0).uid(), History.State.STARTED);
+            fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.STARTED);
             StubUpstream.sleep(SidecarSettings.RAMP_MS + 500);
             long warmAt = System.nanoTime();
             StubUpstream.sleep(1_000);
@@ -278,10 +278,10 @@
         SidecarSettings longDeadlines = new SidecarSettings(List.of(8_000, 8_000, 8_000), 256, true, 1.2);
         try (Fleet fleet = new Fleet(longDeadlines, 1, 4, SEED, folder, List.of())) {
             fleet.start();
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamMood.HUNG));
-            fleet.startLoad(20, Manners.PROPER);
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HUNG));
+            fleet.startLoad(20, ClientMix.PROPER);
             StubUpstream.sleep(500);
-            TroubleMaker.terminateAll(fleet);
+            FaultInjector.terminateAll(fleet);
             fleet.stopLoad();
             assertEquals(List.of(), check(fleet));
         }
@@ -293,7 +293,7 @@
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
             fleet.start();
             fleet.upstreams().forEach(upstream -> upstream.mood(
-                    new UpstreamMood(0, 0, 0, 0, 0, 0, 0, 0, 0, 150, 250)));
+                    new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 150, 250)));
             for (int i = 0; i < 10; i++) {
                 runAhead(fleet, i);
             }
@@ -303,13 +303,13 @@
     }
 
     private static void runAhead(Fleet fleet, int number) throws IOException {
-        try (Exchange client = new Exchange(fleet.sidecars().get(0).address())) {
+        try (HttpExchange client = new HttpExchange(fleet.sidecars().get(0).address())) {
             StringBuilder text = new StringBuilder();
             for (int i = 0; i < 4; i++) {
                 String id = "ahead-" + number + "-" + i;
-                RequestRecord request = new RequestRecord(id, 0, RequestKind.LOOK, 400);
+                RequestRecord request = new RequestRecord(id, 0, RequestClass.LOOK, 400);
                 fleet.history().add(request);
-                text.append(LoadGenerator.text(request, Seeds.random(SEED, request.id)));
+                text.append(LoadGenerator.text(request, SeededRandom.random(SEED, request.id)));
             }
             client.send(text.toString());
             long now = System.nanoTime();
