--- a/src/main/java/pondridge/testbed/InvariantChecker.java
+++ b/src/main/java/pondridge/testbed/InvariantChecker.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import pondridge.testbed.RequestRecord.End;
 import pondridge.testbed.RunHistory.ListEvent;
 import pondridge.testbed.RunHistory.State;
-import pondridge.testbed.RequestRecord.End;
 
 /** Checks the invariants on what the testbed's parties saw. */
 final class InvariantChecker {
