--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -55,7 +55,7 @@
 
     private void cause(PlannedFault trouble) {
         try {
-            if (trouble.kind().call() != null) {
+            if (trouble.type().systemFault() != null) {
                 failCalls(trouble);
             } else {
                 causeOutside(trouble);
@@ -66,8 +66,8 @@
     }
 
     private void failCalls(PlannedFault trouble) {
-        Duration time = Duration.ofMillis(trouble.lengthMs());
-        Consumer<SidecarProcess> begin = switch (trouble.kind()) {
+        Duration time = Duration.ofMillis(trouble.durationMs());
+        Consumer<SidecarProcess> begin = switch (trouble.type()) {
             // A Java machine whose files can't be opened while it starts does not start.
             case OPEN_EMFILE -> sidecar -> {
                 if (sidecar.life().readyAt != 0) {
@@ -76,8 +76,8 @@
             };
             case CLOCK_FORWARD -> sidecar -> sidecar.faults().stepWallClock(step(trouble), time);
             case CLOCK_BACK -> sidecar -> sidecar.faults().stepWallClock(step(trouble).negated(), time);
-            default -> sidecar -> sidecar.faults().fail(trouble.kind().call(), trouble.kind().error(), time,
-                    trouble.kind().perMille());
+            default -> sidecar -> sidecar.faults().fail(trouble.type().systemFault(),
+                    trouble.type().error(), time, trouble.type().perMille());
         };
         if (trouble.target() == PlannedFault.ALL) {
             fleet.sidecars().forEach(begin);
@@ -100,15 +100,15 @@
 
     private void causeOutside(PlannedFault trouble) throws IOException {
         int upstream = upstream(trouble);
-        switch (trouble.kind()) {
-            case STALL -> sidecar(trouble).stall(Math.min(LONGEST_STALL_MS, trouble.lengthMs()));
-            case UPSTREAM_TROUBLED -> inMood(upstream, UpstreamBehaviour.TROUBLED, trouble.lengthMs());
-            case UPSTREAM_HUNG -> inMood(upstream, UpstreamBehaviour.HUNG, trouble.lengthMs());
-            case UPSTREAM_RESTART -> restartUpstream(upstream, trouble.lengthMs());
-            case UPSTREAM_DRAIN -> drainUpstream(upstream, trouble.lengthMs());
+        switch (trouble.type()) {
+            case STALL -> sidecar(trouble).stall(Math.min(LONGEST_STALL_MS, trouble.durationMs()));
+            case UPSTREAM_TROUBLED -> inMood(upstream, UpstreamBehaviour.TROUBLED, trouble.durationMs());
+            case UPSTREAM_HUNG -> inMood(upstream, UpstreamBehaviour.HUNG, trouble.durationMs());
+            case UPSTREAM_RESTART -> restartUpstream(upstream, trouble.durationMs());
+            case UPSTREAM_DRAIN -> drainUpstream(upstream, trouble.durationMs());
             case PROXY_RESET -> fleet.proxies().get(upstream).resetConnections();
-            case PROXY_HOLD -> fleet.proxies().get(upstream).holdAnswers(trouble.lengthMs());
-            case PROXY_CUT -> fleet.proxies().get(upstream).cutAnswers(trouble.lengthMs());
+            case PROXY_HOLD -> fleet.proxies().get(upstream).holdAnswers(trouble.durationMs());
+            case PROXY_CUT -> fleet.proxies().get(upstream).cutAnswers(trouble.durationMs());
             case WATCH_RESET -> fleet.discovery().resetWatches();
             case WATCH_SILENT -> {
                 fleet.discovery().silenceWatches();
@@ -166,7 +166,7 @@
 
     /** The sidecar can't open the new configuration for a moment; it has to follow all the same. */
     private void reloadWhileFilesFail(PlannedFault trouble) throws IOException {
-        Duration time = Duration.ofMillis(Math.min(500, trouble.lengthMs()));
+        Duration time = Duration.ofMillis(Math.min(500, trouble.durationMs()));
         fleet.sidecars().stream().filter(each -> each.life().readyAt != 0)
                 .forEach(each -> each.faults().fail(SystemFault.OPEN, Errno.EMFILE, time));
         reload();
--- a/src/main/java/pondridge/testbed/PlannedFault.java
+++ b/src/main/java/pondridge/testbed/PlannedFault.java
@@ -1,16 +1,20 @@
 package pondridge.testbed;
 
 /**
- * One thing that goes wrong in a run.
+ * One fault of a run as {@link SoakPlan} draws it; {@link FaultInjector} injects it.
  *
- * @param atMs when it begins, from the start of the troubled time
- * @param lengthMs how long it lasts; what happens at once ignores it
- * @param target a number that chooses the sidecar or upstream, modulo their count; {@link #ALL} for all
+ * @param atMs when the fault begins, in milliseconds from the start of the fault phase
+ * @param durationMs how long the fault lasts, in milliseconds; faults that happen at one moment ignore it
+ * @param target selects the sidecar or upstream, modulo their number; {@link #ALL} stands for all sidecars.
+ *     For a clock fault it also selects the size of the step
  */
-record PlannedFault(Type kind, long atMs, long lengthMs, int target) {
+record PlannedFault(Type type, long atMs, long durationMs, int target) {
     static final int ALL = -1;
 
-    /** What can go wrong; those of system calls name the call and the error. */
+    /**
+     * The types of fault. Those that make a system call fail name the call, the error and how many of a
+     * thousand calls fail.
+     */
     enum Type {
         ACCEPT_ENFILE(SystemFault.ACCEPT, Errno.ENFILE, 1000),
         ACCEPT_ENOBUFS(SystemFault.ACCEPT, Errno.ENOBUFS, 700),
@@ -51,7 +55,7 @@
         TERMINATE,
         KILL;
 
-        private final SystemFault call;
+        private final SystemFault systemFault;
         private final Errno error;
         private final int perMille;
 
@@ -59,15 +63,15 @@
             this(null, null, 0);
         }
 
-        Type(SystemFault call, Errno error, int perMille) {
-            this.call = call;
+        Type(SystemFault systemFault, Errno error, int perMille) {
+            this.systemFault = systemFault;
             this.error = error;
             this.perMille = perMille;
         }
 
-        /** The call that fails, or null. */
-        SystemFault call() {
-            return call;
+        /** The system call that is affected, or null if the fault is not one of a system call. */
+        SystemFault systemFault() {
+            return systemFault;
         }
 
         Errno error() {
@@ -80,11 +84,11 @@
     }
 
     long endMs() {
-        return atMs + lengthMs;
+        return atMs + durationMs;
     }
 
     @Override
     public String toString() {
-        return atMs + " ms: " + kind + " for " + lengthMs + " ms at " + (target == ALL ? "all" : target);
+        return atMs + " ms: " + type + " for " + durationMs + " ms at " + (target == ALL ? "all" : target);
     }
 }
--- a/src/main/java/pondridge/testbed/SoakPlan.java
+++ b/src/main/java/pondridge/testbed/SoakPlan.java
@@ -46,12 +46,12 @@
     private static PlannedFault trouble(Random random, long troubledMs) {
         PlannedFault.Type kind =
                 PlannedFault.Type.values()[random.nextInt(PlannedFault.Type.values().length)];
-        int longest = kind.call() == null ? LONGEST_TROUBLE_MS : LONGEST_CALL_FAULT_MS;
-        if (kind.call() == SystemFault.WALL_CLOCK) {
+        int longest = kind.systemFault() == null ? LONGEST_TROUBLE_MS : LONGEST_CALL_FAULT_MS;
+        if (kind.systemFault() == SystemFault.WALL_CLOCK) {
             longest = LONGEST_TROUBLE_MS;
         }
         long length = SHORTEST_MS + random.nextInt(longest);
-        boolean all = kind.call() != null && random.nextInt(4) == 0;
+        boolean all = kind.systemFault() != null && random.nextInt(4) == 0;
         return new PlannedFault(kind, (long) (random.nextDouble() * troubledMs), length,
                 all ? PlannedFault.ALL : random.nextInt(1 << 20));
     }
