--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -102,8 +102,8 @@
         int upstream = upstream(trouble);
         switch (trouble.type()) {
             case STALL -> sidecar(trouble).stall(Math.min(LONGEST_STALL_MS, trouble.durationMs()));
-            case UPSTREAM_TROUBLED -> inMood(upstream, UpstreamBehaviour.TROUBLED, trouble.durationMs());
-            case UPSTREAM_HUNG -> inMood(upstream, UpstreamBehaviour.HUNG, trouble.durationMs());
+            case UPSTREAM_TROUBLED -> inMood(upstream, UpstreamBehaviour.FAULTY, trouble.durationMs());
+            case UPSTREAM_HUNG -> inMood(upstream, UpstreamBehaviour.HANGING, trouble.durationMs());
             case UPSTREAM_RESTART -> restartUpstream(upstream, trouble.durationMs());
             case UPSTREAM_DRAIN -> drainUpstream(upstream, trouble.durationMs());
             case PROXY_RESET -> fleet.proxies().get(upstream).resetConnections();
@@ -125,7 +125,7 @@
     private void inMood(int upstream, UpstreamBehaviour mood, long ms) {
         fleet.upstreams().get(upstream).mood(mood);
         StubUpstream.sleep(ms);
-        fleet.upstreams().get(upstream).mood(UpstreamBehaviour.SOUND);
+        fleet.upstreams().get(upstream).mood(UpstreamBehaviour.HEALTHY);
     }
 
     /** The upstream's process dies and starts anew, cold. */
--- a/src/main/java/pondridge/testbed/StubUpstream.java
+++ b/src/main/java/pondridge/testbed/StubUpstream.java
@@ -20,7 +20,7 @@
     private final RunHistory history;
     private final long seed;
     private final LoopbackServer listener;
-    private volatile UpstreamBehaviour mood = UpstreamBehaviour.SOUND;
+    private volatile UpstreamBehaviour mood = UpstreamBehaviour.HEALTHY;
 
     StubUpstream(String uid, RunHistory history, long seed) throws IOException {
         this.uid = uid;
@@ -82,8 +82,8 @@
         UpstreamBehaviour.Disposition fate = mood.draw(random);
         long toldMs = Long.parseLong(request.headers().getOrDefault("req-deadline-ms", "-1"));
         history.add(new AttemptRecord(number, id, uid, firstByteAt, lastByteAt, toldMs,
-                fate == UpstreamBehaviour.Disposition.DECLINE));
-        if (fate != UpstreamBehaviour.Disposition.DECLINE) {
+                fate == UpstreamBehaviour.Disposition.REJECT));
+        if (fate != UpstreamBehaviour.Disposition.REJECT) {
             sleep(mood.serviceMs(random));
         }
         return carryOut(fate, connection, body(id, number, random));
@@ -94,16 +94,16 @@
         String whole = response("200 OK", "", body);
         switch (fate) {
             case ERROR -> write(connection, response("500 Internal Server Error", "", ""));
-            case DECLINE -> write(connection,
+            case REJECT -> write(connection,
                     response("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
             case RESET -> LoopbackServer.reset(connection);
-            case RESET_IN_ANSWER -> {
+            case RESET_MID_RESPONSE -> {
                 write(connection, whole.substring(0, whole.length() - 2));
                 LoopbackServer.reset(connection);
             }
             case HANG -> awaitEnd(connection);
-            case SPOIL -> write(connection, "HTTP/1.1 200 OK\r\nno header at all\r\n\r\n" + body);
-            case SURPLUS -> {
+            case MALFORMED -> write(connection, "HTTP/1.1 200 OK\r\nno header at all\r\n\r\n" + body);
+            case EXTRA_RESPONSE -> {
                 write(connection, whole);
                 sleep(SURPLUS_DELAY_MS);
                 write(connection, response("200 OK", "", "surplus"));
@@ -119,7 +119,7 @@
             default -> write(connection, whole);
         }
         return fate != UpstreamBehaviour.Disposition.RESET
-                && fate != UpstreamBehaviour.Disposition.RESET_IN_ANSWER;
+                && fate != UpstreamBehaviour.Disposition.RESET_MID_RESPONSE;
     }
 
     private static void awaitEnd(Socket connection) throws IOException {
--- a/src/main/java/pondridge/testbed/UpstreamBehaviour.java
+++ b/src/main/java/pondridge/testbed/UpstreamBehaviour.java
@@ -3,42 +3,45 @@
 import java.util.Random;
 
 /**
- * How upstreams treat requests, drawn for each request. All figures but the times are in parts of a thousand
- * requests; what is left of a thousand is served.
+ * The mixture of ways in which a {@link StubUpstream} treats requests; one is drawn for each request. All
+ * figures but the times are requests per thousand; the rest of the thousand is served normally.
  *
- * @param error answered with 500
- * @param decline turned away unseen
- * @param reset the connection is reset instead of an answer
- * @param resetInAnswer the connection is reset within the answer
- * @param hang never answered
- * @param spoil answered with what is no proper response
- * @param surplus served, followed by a second answer some milliseconds later
- * @param unframed served with a body that ends with the connection
- * @param closeAfter served, and the connection closed although the answer does not say so
- * @param shortestMs shortest time to an answer
- * @param longestMs longest time to an answer
+ * @param error gets a response with status 500
+ * @param reject is rejected: the response promises that the request was not processed
+ * @param reset the connection is reset instead of a response
+ * @param resetMidResponse the connection is reset within the response
+ * @param hang never gets a response
+ * @param malformed gets a response whose header section is not valid HTTP
+ * @param extraResponse is served, and a second response follows some milliseconds later
+ * @param unframed is served without a content length; the end of the connection ends the body
+ * @param closeAfter is served, and the connection is closed although the response does not announce it
+ * @param minServiceMs shortest time until the response, in milliseconds
+ * @param maxServiceMs longest time until the response, in milliseconds
  */
-record UpstreamBehaviour(int error, int decline, int reset, int resetInAnswer, int hang, int spoil,
-        int surplus, int unframed, int closeAfter, int shortestMs, int longestMs) {
-    static final UpstreamBehaviour SOUND = new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 20);
-    /** What goes wrong in the middle of trouble, beside one or two things that stand out. */
-    static final UpstreamBehaviour TROUBLED =
+record UpstreamBehaviour(int error, int reject, int reset, int resetMidResponse, int hang, int malformed,
+        int extraResponse, int unframed, int closeAfter, int minServiceMs, int maxServiceMs) {
+    static final UpstreamBehaviour HEALTHY = new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 20);
+    /** Every type of failure at once, each for a small share of the requests, and slower responses. */
+    static final UpstreamBehaviour FAULTY =
             new UpstreamBehaviour(30, 30, 30, 20, 20, 20, 20, 30, 100, 2, 60);
-    /** As SOUND, but each connection serves few requests: new ones are needed all the time. */
-    static final UpstreamBehaviour CLOSING = new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 200, 0, 2, 20);
-    /** Nothing is answered. */
-    static final UpstreamBehaviour HUNG = new UpstreamBehaviour(0, 0, 0, 0, 1000, 0, 0, 0, 0, 2, 20);
+    /** As HEALTHY, but each connection serves few requests: new ones are opened all the time. */
+    static final UpstreamBehaviour CLOSING_CONNECTIONS =
+            new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 200, 0, 2, 20);
+    /** No request gets a response. */
+    static final UpstreamBehaviour HANGING = new UpstreamBehaviour(0, 0, 0, 0, 1000, 0, 0, 0, 0, 2, 20);
 
-    /** What becomes of one request. */
+    /** What the upstream does with one request; in the order of the record's components. */
     enum Disposition {
-        ERROR, DECLINE, RESET, RESET_IN_ANSWER, HANG, SPOIL, SURPLUS, UNFRAMED, CLOSE_AFTER, SERVE
+        ERROR, REJECT, RESET, RESET_MID_RESPONSE, HANG, MALFORMED, EXTRA_RESPONSE, UNFRAMED, CLOSE_AFTER,
+        SERVE
     }
 
     Disposition draw(Random random) {
-        int[] parts = {error, decline, reset, resetInAnswer, hang, spoil, surplus, unframed, closeAfter};
+        int[] perMille = {error, reject, reset, resetMidResponse, hang, malformed, extraResponse, unframed,
+            closeAfter};
         int drawn = random.nextInt(1000);
-        for (int i = 0; i < parts.length; i++) {
-            drawn -= parts[i];
+        for (int i = 0; i < perMille.length; i++) {
+            drawn -= perMille[i];
             if (drawn < 0) {
                 return Disposition.values()[i];
             }
@@ -46,7 +49,8 @@
         return Disposition.SERVE;
     }
 
+    /** Draws the time until a response, in milliseconds. */
     int serviceMs(Random random) {
-        return shortestMs + random.nextInt(longestMs - shortestMs + 1);
+        return minServiceMs + random.nextInt(maxServiceMs - minServiceMs + 1);
     }
 }
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -73,7 +73,7 @@
     private void expectHarmless(SystemFault fault, Errno error, Duration time, int perMille)
             throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.CLOSING));
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.CLOSING_CONNECTIONS));
             SoakReport report = play(fleet, failing(fault, error, time, perMille));
             assertTrue(report.injected(fault) > 0, "the fault was never injected");
             expectServed(report);
@@ -148,7 +148,7 @@
     @Test
     void requestsWereLostWhenTheLogsDiskWasFull() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FULL_DISK)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.TROUBLED));
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.FAULTY));
             SoakReport report = play(fleet, failing(SystemFault.LOG_WRITE, Errno.EIO, LONG, 1000));
             assertTrue(report.injected(SystemFault.LOG_WRITE) > 0, "the fault was never injected");
             assertEquals(List.of(), report.violations(), report::text);
@@ -170,9 +170,9 @@
     void everyRequestWasLostWhenNobodyReadTheLog() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.STUCK_PIPE)) {
             // Errors are logged, and fill the pipe.
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HUNG));
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HANGING));
             SoakReport report = play(fleet, each -> each.upstreams()
-                    .forEach(upstream -> upstream.mood(UpstreamBehaviour.SOUND)));
+                    .forEach(upstream -> upstream.mood(UpstreamBehaviour.HEALTHY)));
             assertEquals(List.of(), report.violations(), report::text);
         }
     }
@@ -278,7 +278,7 @@
         SidecarSettings longDeadlines = new SidecarSettings(List.of(8_000, 8_000, 8_000), 256, true, 1.2);
         try (Fleet fleet = new Fleet(longDeadlines, 1, 4, SEED, folder, List.of())) {
             fleet.start();
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HUNG));
+            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HANGING));
             fleet.startLoad(20, ClientMix.PROPER);
             StubUpstream.sleep(500);
             FaultInjector.terminateAll(fleet);
