--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -123,9 +123,9 @@
     }
 
     private void inMood(int upstream, UpstreamBehaviour mood, long ms) {
-        fleet.upstreams().get(upstream).mood(mood);
+        fleet.upstreams().get(upstream).setBehaviour(mood);
         StubUpstream.sleep(ms);
-        fleet.upstreams().get(upstream).mood(UpstreamBehaviour.HEALTHY);
+        fleet.upstreams().get(upstream).setBehaviour(UpstreamBehaviour.HEALTHY);
     }
 
     /** The upstream's process dies and starts anew, cold. */
@@ -133,7 +133,7 @@
         synchronized (upstreamLocks.get(upstream)) {
             fleet.upstreams().get(upstream).crash();
             StubUpstream.sleep(downMs);
-            fleet.upstreams().get(upstream).startAgain();
+            fleet.upstreams().get(upstream).restart();
             fleet.list(upstream, "SERVING", System.currentTimeMillis());
             fleet.history().told(fleet.upstreams().get(upstream).uid(), State.STARTED);
         }
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -204,7 +204,7 @@
             request.detail = answer.closes() ? "closes" : "";
             return switch (answer.status()) {
                 case 200 -> {
-                    request.servedAttempt = StubUpstream.attemptOf(request.id, answer.body());
+                    request.servedAttempt = StubUpstream.parseAttemptNumber(request.id, answer.body());
                     yield End.SERVED;
                 }
                 case 429, 503 -> End.REFUSED;
--- a/src/main/java/pondridge/testbed/StubUpstream.java
+++ b/src/main/java/pondridge/testbed/StubUpstream.java
@@ -9,24 +9,25 @@
 import java.util.Random;
 
 /**
- * A stand-in for an upstream: records each request that arrives whole and answers it as its mood says. The
- * body of an answer names the request and the attempt, so that a wrong answer is recognized.
+ * A stub HTTP upstream. It records each request that arrives in full in the {@link RunHistory} and treats it
+ * as its current {@link UpstreamBehaviour} says. The body of a response names the request and the attempt, so
+ * that the client detects a response to another request.
  */
 final class StubUpstream implements AutoCloseable {
-    private static final int LONGEST_PADDING = 2_000;
-    private static final long SURPLUS_DELAY_MS = 3;
+    private static final int MAX_PADDING_BYTES = 2_000;
+    private static final long EXTRA_RESPONSE_DELAY_MS = 3;
 
     private final String uid;
     private final RunHistory history;
     private final long seed;
-    private final LoopbackServer listener;
-    private volatile UpstreamBehaviour mood = UpstreamBehaviour.HEALTHY;
+    private final LoopbackServer server;
+    private volatile UpstreamBehaviour behaviour = UpstreamBehaviour.HEALTHY;
 
     StubUpstream(String uid, RunHistory history, long seed) throws IOException {
         this.uid = uid;
         this.history = history;
         this.seed = seed;
-        this.listener = new LoopbackServer(uid, this::serve);
+        this.server = new LoopbackServer(uid, this::serve);
     }
 
     String uid() {
@@ -34,20 +35,21 @@
     }
 
     int port() {
-        return listener.port();
+        return server.port();
     }
 
-    void mood(UpstreamBehaviour next) {
-        mood = next;
+    void setBehaviour(UpstreamBehaviour next) {
+        behaviour = next;
     }
 
-    /** Ends as a process that dies. */
+    /** Resets all connections and refuses new ones, as if the process had died. */
     void crash() throws IOException {
-        listener.crash();
+        server.crash();
     }
 
-    void startAgain() throws IOException {
-        listener.startAgain();
+    /** Accepts connections again, on the same port. */
+    void restart() throws IOException {
+        server.startAgain();
     }
 
     private void serve(Socket connection) throws IOException {
@@ -60,14 +62,18 @@
             if (request == null) {
                 return;
             }
-            long now = System.nanoTime();
-            long firstByteAt = arrivals.firstByteAt() == 0 ? now : arrivals.firstByteAt();
-            open = answer(connection, request, firstByteAt, now);
+            long lastByteAt = System.nanoTime();
+            long firstByteAt = arrivals.firstByteAt() == 0 ? lastByteAt : arrivals.firstByteAt();
+            open = respond(connection, request, firstByteAt, lastByteAt);
         }
     }
 
-    /** Whether the connection goes on. */
-    private boolean answer(Socket connection, HttpMessage request, long firstByteAt, long lastByteAt)
+    /**
+     * Handles one request.
+     *
+     * @return whether the connection stays open for further requests
+     */
+    private boolean respond(Socket connection, HttpMessage request, long firstByteAt, long lastByteAt)
             throws IOException {
         String id = request.header("Req-Id");
         if (id == null) {
@@ -79,33 +85,33 @@
         }
         long number = history.nextAttemptNumber();
         Random random = SeededRandom.random(seed, id + uid);
-        UpstreamBehaviour.Disposition fate = mood.draw(random);
-        long toldMs = Long.parseLong(request.headers().getOrDefault("req-deadline-ms", "-1"));
-        history.add(new AttemptRecord(number, id, uid, firstByteAt, lastByteAt, toldMs,
-                fate == UpstreamBehaviour.Disposition.REJECT));
-        if (fate != UpstreamBehaviour.Disposition.REJECT) {
-            sleep(mood.serviceMs(random));
+        UpstreamBehaviour.Disposition disposition = behaviour.draw(random);
+        long deadlineMs = Long.parseLong(request.headers().getOrDefault("req-deadline-ms", "-1"));
+        history.add(new AttemptRecord(number, id, uid, firstByteAt, lastByteAt, deadlineMs,
+                disposition == UpstreamBehaviour.Disposition.REJECT));
+        if (disposition != UpstreamBehaviour.Disposition.REJECT) {
+            sleep(behaviour.serviceMs(random));
         }
-        return carryOut(fate, connection, body(id, number, random));
+        return applyDisposition(disposition, connection, body(id, number, random));
     }
 
-    private boolean carryOut(UpstreamBehaviour.Disposition fate, Socket connection, String body)
-            throws IOException {
-        String whole = response("200 OK", "", body);
-        switch (fate) {
+    private boolean applyDisposition(UpstreamBehaviour.Disposition disposition, Socket connection,
+            String body) throws IOException {
+        String complete = response("200 OK", "", body);
+        switch (disposition) {
             case ERROR -> write(connection, response("500 Internal Server Error", "", ""));
             case REJECT -> write(connection,
                     response("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
             case RESET -> LoopbackServer.reset(connection);
             case RESET_MID_RESPONSE -> {
-                write(connection, whole.substring(0, whole.length() - 2));
+                write(connection, complete.substring(0, complete.length() - 2));
                 LoopbackServer.reset(connection);
             }
-            case HANG -> awaitEnd(connection);
+            case HANG -> awaitClose(connection);
             case MALFORMED -> write(connection, "HTTP/1.1 200 OK\r\nno header at all\r\n\r\n" + body);
             case EXTRA_RESPONSE -> {
-                write(connection, whole);
-                sleep(SURPLUS_DELAY_MS);
+                write(connection, complete);
+                sleep(EXTRA_RESPONSE_DELAY_MS);
                 write(connection, response("200 OK", "", "surplus"));
             }
             case UNFRAMED -> {
@@ -113,18 +119,18 @@
                 return false;
             }
             case CLOSE_AFTER -> {
-                write(connection, whole);
+                write(connection, complete);
                 return false;
             }
-            default -> write(connection, whole);
+            default -> write(connection, complete);
         }
-        return fate != UpstreamBehaviour.Disposition.RESET
-                && fate != UpstreamBehaviour.Disposition.RESET_MID_RESPONSE;
+        return disposition != UpstreamBehaviour.Disposition.RESET
+                && disposition != UpstreamBehaviour.Disposition.RESET_MID_RESPONSE;
     }
 
-    private static void awaitEnd(Socket connection) throws IOException {
+    private static void awaitClose(Socket connection) throws IOException {
         while (connection.getInputStream().read() >= 0) {
-            // What arrives is not looked at.
+            // Bytes that arrive meanwhile are ignored.
         }
     }
 
@@ -133,16 +139,17 @@
                 + body;
     }
 
-    /** The request, the attempt and the length, so that a client can tell whether all of it is there. */
+    /** Builds a body from the request, the attempt and the padding's length: a client detects a cut body. */
     private static String body(String id, long number, Random random) {
-        String padding = "x".repeat(random.nextInt(LONGEST_PADDING));
+        String padding = "x".repeat(random.nextInt(MAX_PADDING_BYTES));
         return id + " " + number + " " + padding.length() + " " + padding;
     }
 
     /**
-     * The number of the attempt that made a body, or -1 if no upstream can have made it for this request.
+     * Returns the number of the attempt whose response has this body, or -1 if no upstream can have sent it
+     * for this request.
      */
-    static long attemptOf(String requestId, byte[] body) {
+    static long parseAttemptNumber(String requestId, byte[] body) {
         String[] parts = new String(body, StandardCharsets.ISO_8859_1).split(" ", 4);
         if (parts.length != 4 || !parts[0].equals(requestId)
                 || !Integer.toString(parts[3].length()).equals(parts[2])) {
@@ -157,7 +164,7 @@
         out.flush();
     }
 
-    /** Sleeps, not at all where the time is not positive. */
+    /** Sleeps for a time in milliseconds; returns at once if it is not positive, or when interrupted. */
     static void sleep(long ms) {
         try {
             Thread.sleep(Math.max(0, ms));
@@ -168,6 +175,6 @@
 
     @Override
     public void close() throws IOException {
-        listener.close();
+        server.close();
     }
 }
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -73,7 +73,8 @@
     private void expectHarmless(SystemFault fault, Errno error, Duration time, int perMille)
             throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.CLOSING_CONNECTIONS));
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
+                    UpstreamBehaviour.CLOSING_CONNECTIONS));
             SoakReport report = play(fleet, failing(fault, error, time, perMille));
             assertTrue(report.injected(fault) > 0, "the fault was never injected");
             expectServed(report);
@@ -148,7 +149,7 @@
     @Test
     void requestsWereLostWhenTheLogsDiskWasFull() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FULL_DISK)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.FAULTY));
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.FAULTY));
             SoakReport report = play(fleet, failing(SystemFault.LOG_WRITE, Errno.EIO, LONG, 1000));
             assertTrue(report.injected(SystemFault.LOG_WRITE) > 0, "the fault was never injected");
             assertEquals(List.of(), report.violations(), report::text);
@@ -159,7 +160,7 @@
     @Test
     void aLateSecondAnswerWasServedToTheNextRequest() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 300, 0, 0, 2, 20)));
             expectServed(play(fleet, each -> { }));
         }
@@ -170,9 +171,9 @@
     void everyRequestWasLostWhenNobodyReadTheLog() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.STUCK_PIPE)) {
             // Errors are logged, and fill the pipe.
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HANGING));
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HANGING));
             SoakReport report = play(fleet, each -> each.upstreams()
-                    .forEach(upstream -> upstream.mood(UpstreamBehaviour.HEALTHY)));
+                    .forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HEALTHY)));
             assertEquals(List.of(), report.violations(), report::text);
         }
     }
@@ -258,7 +259,7 @@
             StubUpstream.sleep(1_000);
             fleet.sidecars().get(0).faults().stepWallClock(sidecarsStep, Duration.ofMinutes(1));
             fleet.upstreams().get(0).crash();
-            fleet.upstreams().get(0).startAgain();
+            fleet.upstreams().get(0).restart();
             fleet.list(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
             fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.STARTED);
             StubUpstream.sleep(SidecarSettings.RAMP_MS + 500);
@@ -278,7 +279,7 @@
         SidecarSettings longDeadlines = new SidecarSettings(List.of(8_000, 8_000, 8_000), 256, true, 1.2);
         try (Fleet fleet = new Fleet(longDeadlines, 1, 4, SEED, folder, List.of())) {
             fleet.start();
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HANGING));
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HANGING));
             fleet.startLoad(20, ClientMix.PROPER);
             StubUpstream.sleep(500);
             FaultInjector.terminateAll(fleet);
@@ -292,7 +293,7 @@
     void requestsWereForwardedForClientsThatRanAheadAndLeft() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
             fleet.start();
-            fleet.upstreams().forEach(upstream -> upstream.mood(
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 150, 250)));
             for (int i = 0; i < 10; i++) {
                 runAhead(fleet, i);
