--- a/src/main/java/pondridge/testbed/FaultProxy.java
+++ b/src/main/java/pondridge/testbed/FaultProxy.java
@@ -51,7 +51,7 @@
     private void serve(Socket client) throws IOException {
         try (Socket upstream = new Socket(InetAddress.getLoopbackAddress(), targetPort)) {
             upstream.setTcpNoDelay(true);
-            LoopbackServer.thread("proxy-answers", () -> passAnswers(upstream, client));
+            LoopbackServer.startThread("proxy-answers", () -> passAnswers(upstream, client));
             pass(client.getInputStream(), upstream.getOutputStream());
         } catch (IOException e) {
             LoopbackServer.reset(client);
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -64,7 +64,7 @@
     /** Begins; exchanges go on until {@link #stop}. */
     void start(int perSecond) {
         long interval = 1_000_000_000L / perSecond;
-        pacer = LoopbackServer.thread("load-" + sidecar, () -> {
+        pacer = LoopbackServer.startThread("load-" + sidecar, () -> {
             long next = System.nanoTime();
             for (int number = 0; !stopped; number++) {
                 int mine = number;
--- a/src/main/java/pondridge/testbed/LoopbackServer.java
+++ b/src/main/java/pondridge/testbed/LoopbackServer.java
@@ -10,54 +10,56 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Accepts connections on a port of the loopback address and serves each on a thread of its own, until it is
- * stopped as a process that dies: connections are reset and new ones refused. It can start again on its port.
+ * A server on a port of the loopback address that handles each connection on a thread of its own. It can stop
+ * as if its process had died, which resets its connections and refuses new ones, and restart on the same
+ * port.
  */
 final class LoopbackServer implements AutoCloseable {
     private static final int BACKLOG = 1024;
-    private static final int MOST_BIND_FAILURES = 500;
+    private static final int MAX_BIND_FAILURES = 500;
     private static final long BIND_RETRY_MS = 10;
-    private static final long STACK_BYTES = 256 * 1024;
+    private static final long THREAD_STACK_BYTES = 256 * 1024;
 
-    /** Serves one connection; it is closed when this returns or throws. */
-    interface Service {
-        void serve(Socket connection) throws IOException;
+    /** Handles one connection, which is closed when {@link #handle} returns or throws. */
+    interface ConnectionHandler {
+        void handle(Socket connection) throws IOException;
     }
 
     private final String name;
-    private final Service service;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final ConnectionHandler handler;
+    private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
     private final int port;
-    private volatile ServerSocket server;
+    private volatile ServerSocket serverSocket;
 
-    LoopbackServer(String name, Service service) throws IOException {
+    LoopbackServer(String name, ConnectionHandler handler) throws IOException {
         this.name = name;
-        this.service = service;
+        this.handler = handler;
         port = Ports.free();
         start(port);
     }
 
     private void start(int atPort) throws IOException {
-        ServerSocket opened = new ServerSocket();
-        opened.setReuseAddress(true);
+        ServerSocket listening = new ServerSocket();
+        listening.setReuseAddress(true);
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), atPort);
-        for (int failures = 0; !opened.isBound(); failures++) {
+        for (int failures = 0; !listening.isBound(); failures++) {
             try {
-                opened.bind(address, BACKLOG);
+                listening.bind(address, BACKLOG);
             } catch (BindException e) {
-                // Another party's connection may have been given the port while nobody listened on it.
-                if (failures == MOST_BIND_FAILURES) {
+                // Another process's connection may have been given the port while nothing listened on it.
+                if (failures == MAX_BIND_FAILURES) {
                     throw e;
                 }
                 StubUpstream.sleep(BIND_RETRY_MS);
             }
         }
-        server = opened;
-        thread(name, () -> accept(opened));
+        serverSocket = listening;
+        startThread(name, () -> acceptConnections(listening));
     }
 
-    static Thread thread(String name, Runnable work) {
-        Thread thread = new Thread(null, work, name, STACK_BYTES);
+    /** Starts a daemon thread. */
+    static Thread startThread(String name, Runnable work) {
+        Thread thread = new Thread(null, work, name, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -71,57 +73,59 @@
         return "127.0.0.1:" + port;
     }
 
-    private void accept(ServerSocket from) {
-        while (!from.isClosed()) {
+    private void acceptConnections(ServerSocket listening) {
+        while (!listening.isClosed()) {
             try {
-                Socket socket = from.accept();
+                Socket socket = listening.accept();
                 socket.setTcpNoDelay(true);
-                open.add(socket);
-                thread(name + "-connection", () -> serve(socket));
+                openConnections.add(socket);
+                startThread(name + "-connection", () -> serve(socket));
             } catch (IOException e) {
-                // Stopped, or the connection was gone before it could be accepted.
+                // The server was stopped, or the connection ended before it was accepted.
             }
         }
     }
 
     private void serve(Socket socket) {
         try (socket) {
-            service.serve(socket);
+            handler.handle(socket);
         } catch (IOException e) {
-            // The other side has ended the connection.
+            // The peer ended the connection.
         } finally {
-            open.remove(socket);
+            openConnections.remove(socket);
         }
     }
 
-    /** Resets all connections; new ones are still accepted. */
+    /** Resets all open connections; new ones are still accepted. */
     void resetConnections() {
-        for (Socket socket : open) {
+        for (Socket socket : openConnections) {
             reset(socket);
         }
     }
 
-    /** Ends a connection with a reset instead of an orderly close. */
+    /** Closes a connection with a reset. */
     static void reset(Socket socket) {
         try {
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // It was closed already.
+            // The socket was already closed.
         }
     }
 
-    /** Accepts no more; open connections go on. */
+    /** Stops accepting connections; open ones are kept. */
     void stopAccepting() throws IOException {
-        server.close();
+        serverSocket.close();
     }
 
+    /** Stops accepting connections and resets the open ones, as if the process had died. */
     void crash() throws IOException {
         stopAccepting();
         resetConnections();
     }
 
-    void startAgain() throws IOException {
+    /** Accepts connections again, on the same port. */
+    void restart() throws IOException {
         start(port);
     }
 
--- a/src/main/java/pondridge/testbed/Soak.java
+++ b/src/main/java/pondridge/testbed/Soak.java
@@ -56,7 +56,7 @@
     }
 
     private void makeTrouble(Fleet fleet) {
-        Thread crowd = plan.crowded() ? LoopbackServer.thread("crowd", () -> crowd(fleet)) : null;
+        Thread crowd = plan.crowded() ? LoopbackServer.startThread("crowd", () -> crowd(fleet)) : null;
         new FaultInjector(fleet).play(plan.troubles());
         if (crowd != null) {
             try {
--- a/src/main/java/pondridge/testbed/StubDiscovery.java
+++ b/src/main/java/pondridge/testbed/StubDiscovery.java
@@ -90,7 +90,7 @@
         LoopbackServer old = listener;
         listener = listen();
         old.stopAccepting();
-        LoopbackServer.thread("discovery-old", () -> {
+        LoopbackServer.startThread("discovery-old", () -> {
             StubUpstream.sleep(oldEndsAfterMs);
             old.resetConnections();
         });
--- a/src/main/java/pondridge/testbed/StubUpstream.java
+++ b/src/main/java/pondridge/testbed/StubUpstream.java
@@ -49,7 +49,7 @@
 
     /** Accepts connections again, on the same port. */
     void restart() throws IOException {
-        server.startAgain();
+        server.restart();
     }
 
     private void serve(Socket connection) throws IOException {
