--- a/src/main/java/pondridge/testbed/LoopbackServer.java
+++ b/src/main/java/pondridge/testbed/LoopbackServer.java
@@ -34,7 +34,7 @@
     LoopbackServer(String name, ConnectionHandler handler) throws IOException {
         this.name = name;
         this.handler = handler;
-        port = Ports.free();
+        port = Ports.findFree();
         start(port);
     }
 
--- a/src/main/java/pondridge/testbed/Ports.java
+++ b/src/main/java/pondridge/testbed/Ports.java
@@ -7,20 +7,20 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Finds free ports below the range from which Linux takes the ports of outgoing connections: a party that
- * restarts gets its port again.
+ * Finds free ports below the range from which Linux takes the ports of outgoing connections, so that no such
+ * connection takes the port of a server or sidecar while it restarts.
  */
 final class Ports {
-    private static final int FIRST = 12_000;
-    private static final int BEYOND_LAST = 32_000;
+    private static final int FIRST_PORT = 12_000;
+    private static final int END_PORT = 32_000;
     private static final int BACKLOG = 1;
 
     private Ports() { }
 
-    /** A port of the loopback address that is free for TCP and UDP now. */
-    static int free() {
+    /** Returns a random port of the loopback address that is currently free for both TCP and UDP. */
+    static int findFree() {
         while (true) {
-            int port = ThreadLocalRandom.current().nextInt(FIRST, BEYOND_LAST);
+            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
             if (isFree(port)) {
                 return port;
             }
--- a/src/main/java/pondridge/testbed/SidecarProcess.java
+++ b/src/main/java/pondridge/testbed/SidecarProcess.java
@@ -77,7 +77,7 @@
         this.descriptors = descriptors;
         Files.createDirectories(folder);
         this.faults = new FaultControl(folder.resolve("faults"));
-        this.address = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
+        this.address = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.findFree());
     }
 
     int number() {
