--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -94,7 +94,7 @@
     }
 
     private void exchange(int number) {
-        Random random = SeededRandom.random(number, run + "/" + sidecar);
+        Random random = SeededRandom.create(number, run + "/" + sidecar);
         ClientBehaviour behaviour = manners == ClientMix.MIXED ? ClientBehaviour.draw(random)
                 : ClientBehaviour.PROPER;
         switch (behaviour) {
--- a/src/main/java/pondridge/testbed/SoakPlan.java
+++ b/src/main/java/pondridge/testbed/SoakPlan.java
@@ -25,7 +25,7 @@
     record Size(int sidecars, int upstreams, int troubledSeconds, int perSecond, int troublesPerSecond) { }
 
     static SoakPlan draw(long seed, Size size, boolean crowded) {
-        Random random = SeededRandom.random(seed, "plan");
+        Random random = SeededRandom.create(seed, "plan");
         List<Integer> deadlines = new ArrayList<>();
         for (RequestClass kind : RequestClass.values()) {
             deadlines.add(DEADLINES_MS[random.nextInt(DEADLINES_MS.length)]);
--- a/src/main/java/pondridge/testbed/StubUpstream.java
+++ b/src/main/java/pondridge/testbed/StubUpstream.java
@@ -84,7 +84,7 @@
             history.report(new Violation(Invariant.GENUINE, uid + " got an id that no client sent: " + id));
         }
         long number = history.nextAttemptNumber();
-        Random random = SeededRandom.random(seed, id + uid);
+        Random random = SeededRandom.create(seed, id + uid);
         UpstreamBehaviour.Disposition disposition = behaviour.draw(random);
         long deadlineMs = Long.parseLong(request.headers().getOrDefault("req-deadline-ms", "-1"));
         history.add(new AttemptRecord(number, id, uid, firstByteAt, lastByteAt, deadlineMs,
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -310,7 +310,7 @@
                 String id = "ahead-" + number + "-" + i;
                 RequestRecord request = new RequestRecord(id, 0, RequestClass.LOOK, 400);
                 fleet.history().add(request);
-                text.append(LoadGenerator.text(request, SeededRandom.random(SEED, request.id)));
+                text.append(LoadGenerator.text(request, SeededRandom.create(SEED, request.id)));
             }
             client.send(text.toString());
             long now = System.nanoTime();
