--- a/src/main/java/pondridge/testbed/SystemFault.java
+++ b/src/main/java/pondridge/testbed/SystemFault.java
@@ -1,22 +1,25 @@
 package pondridge.testbed;
 
-/** Kinds of system call that the preloaded library makes fail; the order is that of {@code fault_shim.c}. */
+/**
+ * The system calls that the preloaded library ({@code fault_shim.c}) makes fail or changes. The order has to
+ * match the library's enum, since it is the order of the slots in the control file.
+ */
 enum SystemFault {
     /** {@code accept} fails. */
     ACCEPT,
     /** {@code socket} fails for a TCP or UDP socket. */
     SOCKET,
-    /** {@code connect} fails at once. */
+    /** {@code connect} fails immediately. */
     CONNECT,
-    /** {@code connect} fails after it had begun ({@code SO_ERROR}). */
+    /** A {@code connect} in progress fails; the error is read with {@code SO_ERROR}. */
     CONNECT_RESULT,
     /** A read from a TCP connection fails. */
     READ,
     /** A write to a TCP connection fails. */
     WRITE,
-    /** A read from a TCP connection moves a few bytes only. */
+    /** A read from a TCP connection transfers only a few bytes. */
     SHORT_READ,
-    /** A write to a TCP connection moves a few bytes only. */
+    /** A write to a TCP connection transfers only a few bytes. */
     SHORT_WRITE,
     /** {@code epoll_wait} fails. */
     WAIT,
@@ -24,12 +27,12 @@
     LOG_WRITE,
     /** Opening a file fails. */
     OPEN,
-    /** The wall clock is stepped, for as long as the fault lasts. */
+    /** The wall clock is set forward or back for as long as the fault lasts. */
     WALL_CLOCK,
     /** Receiving a datagram fails. */
     RECEIVE,
     /** Sending a datagram fails. */
     SEND,
-    /** The write that wakes a waiting event loop fails. */
+    /** A write to the {@code eventfd} that wakes the event loop fails. */
     EVENT_WRITE
 }
