--- a/src/main/java/pondridge/testbed/FaultControl.java
+++ b/src/main/java/pondridge/testbed/FaultControl.java
@@ -11,17 +11,17 @@
 import java.util.Map;
 
 /**
- * The file through which one process with the preloaded library is told when its system calls fail. Its times
- * are those of {@link System#nanoTime}, which on Linux is the monotonic clock that the library reads too.
+ * Controls the faults of one process through the file that its preloaded library maps. The file's times are
+ * those of {@link System#nanoTime}, which on Linux reads the same monotonic clock as the library.
  */
 final class FaultControl {
     private static final int SLOT_BYTES = 40;
-    private static final int UNTIL_OFFSET = 8;
+    private static final int END_OFFSET = 8;
     private static final int ERROR_OFFSET = 16;
     private static final int PER_MILLE_OFFSET = 20;
     private static final int STEP_OFFSET = 24;
-    private static final int HITS_OFFSET = 32;
-    private static final int ALWAYS_PER_MILLE = 1000;
+    private static final int INJECTED_COUNT_OFFSET = 32;
+    private static final int ALL_CALLS_PER_MILLE = 1000;
 
     private final Path file;
     private final MappedByteBuffer slots;
@@ -40,50 +40,50 @@
         return file;
     }
 
-    /** Lets every call of this kind fail from now on for a time. */
-    void fail(SystemFault fault, Errno error, Duration time) {
-        fail(fault, error, time, ALWAYS_PER_MILLE);
+    /** Makes every call of this type fail, from now on for the given duration. */
+    void fail(SystemFault fault, Errno error, Duration duration) {
+        fail(fault, error, duration, ALL_CALLS_PER_MILLE);
     }
 
-    /** Lets so many of a thousand calls of this kind fail from now on for a time. */
-    void fail(SystemFault fault, Errno error, Duration time, int perMille) {
+    /** Makes the given number of a thousand calls of this type fail, from now on for the given duration. */
+    void fail(SystemFault fault, Errno error, Duration duration, int perMille) {
         int slot = slot(fault);
         slots.putInt(slot + ERROR_OFFSET, error.number());
         slots.putInt(slot + PER_MILLE_OFFSET, perMille);
-        activate(slot, time);
+        activate(slot, duration);
     }
 
-    /** Lets the process see its wall clock set forward or back, from now on for a time. */
-    void stepWallClock(Duration step, Duration time) {
+    /** Shifts the wall clock that the process reads by a step, from now on for the given duration. */
+    void stepWallClock(Duration step, Duration duration) {
         int slot = slot(SystemFault.WALL_CLOCK);
-        slots.putInt(slot + PER_MILLE_OFFSET, ALWAYS_PER_MILLE);
+        slots.putInt(slot + PER_MILLE_OFFSET, ALL_CALLS_PER_MILLE);
         slots.putLong(slot + STEP_OFFSET, step.toNanos());
-        activate(slot, time);
+        activate(slot, duration);
     }
 
-    private void activate(int slot, Duration time) {
+    private void activate(int slot, Duration duration) {
         long now = System.nanoTime();
         slots.putLong(slot, now);
-        slots.putLong(slot + UNTIL_OFFSET, now + time.toNanos());
+        slots.putLong(slot + END_OFFSET, now + duration.toNanos());
     }
 
     /** Ends all faults. */
     void clear() {
         for (SystemFault fault : SystemFault.values()) {
-            slots.putLong(slot(fault) + UNTIL_OFFSET, 0);
+            slots.putLong(slot(fault) + END_OFFSET, 0);
         }
     }
 
-    /** How many calls of each kind have been made to fail; kinds without any are left out. */
-    Map<SystemFault, Long> hits() {
-        Map<SystemFault, Long> hits = new EnumMap<>(SystemFault.class);
+    /** Returns how many calls of each type were changed; types without any are left out. */
+    Map<SystemFault, Long> injectedCounts() {
+        Map<SystemFault, Long> injectedCounts = new EnumMap<>(SystemFault.class);
         for (SystemFault fault : SystemFault.values()) {
-            long count = slots.getLong(slot(fault) + HITS_OFFSET);
+            long count = slots.getLong(slot(fault) + INJECTED_COUNT_OFFSET);
             if (count > 0) {
-                hits.put(fault, count);
+                injectedCounts.put(fault, count);
             }
         }
-        return hits;
+        return injectedCounts;
     }
 
     private static int slot(SystemFault fault) {
--- a/src/main/java/pondridge/testbed/SoakReport.java
+++ b/src/main/java/pondridge/testbed/SoakReport.java
@@ -41,7 +41,7 @@
 
     /** Takes which calls were made to fail in one sidecar, and what it used. */
     void add(SidecarProcess sidecar, ResourceUsage usage) {
-        sidecar.faults().hits().forEach((fault, count) -> injected.merge(fault, count, Long::sum));
+        sidecar.faults().injectedCounts().forEach((fault, count) -> injected.merge(fault, count, Long::sum));
         resources.add("sidecar " + sidecar.number() + ": " + usage);
     }
 
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -204,7 +204,7 @@
             sidecar.faults().fail(SystemFault.SOCKET, Errno.ENFILE, Duration.ofMillis(1_500));
             sidecar.start();
             fleet.expectReady(sidecar);
-            assertTrue(sidecar.faults().hits().containsKey(SystemFault.SOCKET), "never injected");
+            assertTrue(sidecar.faults().injectedCounts().containsKey(SystemFault.SOCKET), "never injected");
             assertEquals(List.of(), check(fleet));
         }
     }
