--- a/src/main/c/fault_shim.c
+++ b/src/main/c/fault_shim.c
@@ -1,9 +1,11 @@
 /*
- * Fault injection for one process, loaded with LD_PRELOAD by the testbed (pondridge.testbed.FaultControl).
+ * Injects faults into the system calls of one process. The testbed loads this library with LD_PRELOAD and
+ * controls it through pondridge.testbed.FaultControl.
  *
- * The environment variable FAULT_CONTROL names a file of FAULT_SLOTS slots, mapped by the testbed and by this
- * library. A slot makes one kind of call fail between two moments of CLOCK_MONOTONIC, in so many calls of a
- * thousand; the library counts the calls that it changed. FAULT_SEED seeds the choice of those calls.
+ * The environment variable FAULT_CONTROL names a file of FAULT_SLOTS slots that the testbed and this library
+ * both map. A slot makes one type of call fail between two times of CLOCK_MONOTONIC, with a given number of
+ * failures per thousand calls; the library counts the calls that it changed. FAULT_SEED seeds the random
+ * choice of those calls. Without a control file every call passes through unchanged.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -23,29 +25,31 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The order is that of pondridge.testbed.SystemFault. */
+/* The order has to match pondridge.testbed.SystemFault: it is the order of the slots in the control file. */
 enum fault {
     FAULT_ACCEPT, FAULT_SOCKET, FAULT_CONNECT, FAULT_CONNECT_RESULT, FAULT_READ, FAULT_WRITE, FAULT_SHORT_READ,
     FAULT_SHORT_WRITE, FAULT_WAIT, FAULT_LOG_WRITE, FAULT_OPEN, FAULT_WALL_CLOCK, FAULT_RECEIVE, FAULT_SEND,
     FAULT_EVENT_WRITE, FAULT_SLOTS
 };
 
-#define SHORTEST_TRANSFER 1
-#define LONGEST_TRANSFER 7
-#define NANOS 1000000000LL
+#define MIN_TRANSFER_BYTES 1
+#define MAX_TRANSFER_BYTES 7
+#define NANOS_PER_SECOND 1000000000LL
 
+/* The control file's entry for one type of fault; FaultControl writes it at the same offsets. */
 struct slot {
-    int64_t from_ns;
-    int64_t until_ns;
+    int64_t start_ns;
+    int64_t end_ns;
     int32_t error;
     int32_t per_mille;
-    int64_t step_ns;      /* FAULT_WALL_CLOCK only */
-    int64_t hits;
+    int64_t step_ns;      /* only used by FAULT_WALL_CLOCK */
+    int64_t injected;     /* calls changed so far */
 };
 
 static struct slot *control;
 static __thread uint64_t random_state;
 
+/* Declares real_NAME and resolves it to the next definition of NAME, the one of the C library. */
 #define REAL(name) \
     static __typeof__(&name) real_##name; \
     if (real_##name == NULL) { \
@@ -73,7 +77,7 @@
     REAL(clock_gettime)
     struct timespec now;
     real_clock_gettime(CLOCK_MONOTONIC, &now);
-    return now.tv_sec * NANOS + now.tv_nsec;
+    return now.tv_sec * NANOS_PER_SECOND + now.tv_nsec;
 }
 
 static uint64_t next_random(void) {
@@ -87,25 +91,25 @@
     return random_state;
 }
 
-/* Whether this call is to be changed; counts it if so. */
-static int strikes(enum fault fault) {
+/* Decides whether to inject the fault into this call, and counts the call if so. */
+static int inject(enum fault fault) {
     if (control == NULL) {
         return 0;
     }
     struct slot *slot = &control[fault];
-    int64_t until = __atomic_load_n(&slot->until_ns, __ATOMIC_ACQUIRE);
-    if (until == 0) {
+    int64_t end_ns = __atomic_load_n(&slot->end_ns, __ATOMIC_ACQUIRE);
+    if (end_ns == 0) {
         return 0;
     }
     int64_t now = monotonic_ns();
-    if (now >= until || now < slot->from_ns || (int32_t) (next_random() % 1000) >= slot->per_mille) {
+    if (now >= end_ns || now < slot->start_ns || (int32_t) (next_random() % 1000) >= slot->per_mille) {
         return 0;
     }
-    __atomic_add_fetch(&slot->hits, 1, __ATOMIC_RELAXED);
+    __atomic_add_fetch(&slot->injected, 1, __ATOMIC_RELAXED);
     return 1;
 }
 
-static int failed(enum fault fault) {
+static int fail_with_error(enum fault fault) {
     errno = control[fault].error;
     return -1;
 }
@@ -121,47 +125,48 @@
     return socket_type(fd) == SOCK_STREAM;
 }
 
-static size_t short_length(enum fault fault, int fd, size_t length) {
-    if (length > LONGEST_TRANSFER && is_stream(fd) && strikes(fault)) {
-        return SHORTEST_TRANSFER + next_random() % LONGEST_TRANSFER;
+/* The length of a transfer on a TCP connection, cut to a few bytes if the fault is injected. */
+static size_t shortened_length(enum fault fault, int fd, size_t length) {
+    if (length > MAX_TRANSFER_BYTES && is_stream(fd) && inject(fault)) {
+        return MIN_TRANSFER_BYTES + next_random() % MAX_TRANSFER_BYTES;
     }
     return length;
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(accept)
-    return strikes(FAULT_ACCEPT) ? failed(FAULT_ACCEPT) : real_accept(fd, address, length);
+    return inject(FAULT_ACCEPT) ? fail_with_error(FAULT_ACCEPT) : real_accept(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4)
-    return strikes(FAULT_ACCEPT) ? failed(FAULT_ACCEPT) : real_accept4(fd, address, length, flags);
+    return inject(FAULT_ACCEPT) ? fail_with_error(FAULT_ACCEPT) : real_accept4(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     REAL(socket)
-    if ((domain == AF_INET || domain == AF_INET6) && strikes(FAULT_SOCKET)) {
-        return failed(FAULT_SOCKET);
+    if ((domain == AF_INET || domain == AF_INET6) && inject(FAULT_SOCKET)) {
+        return fail_with_error(FAULT_SOCKET);
     }
     return real_socket(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect)
-    if (control == NULL || !is_stream(fd) || !strikes(FAULT_CONNECT)) {
+    if (control == NULL || !is_stream(fd) || !inject(FAULT_CONNECT)) {
         return real_connect(fd, address, length);
     }
     if (control[FAULT_CONNECT].error == EINTR) {
-        real_connect(fd, address, length);      /* goes on in the background, connect(2) */
+        real_connect(fd, address, length);      /* the attempt continues in the background, see connect(2) */
     }
-    return failed(FAULT_CONNECT);
+    return fail_with_error(FAULT_CONNECT);
 }
 
-/* The result of a connect that did not end at once. */
+/* SO_ERROR is the result of a connect that was in progress. */
 int getsockopt(int fd, int level, int option, void *value, socklen_t *length) {
     REAL(getsockopt)
     int result = real_getsockopt(fd, level, option, value, length);
-    if (result == 0 && level == SOL_SOCKET && option == SO_ERROR && strikes(FAULT_CONNECT_RESULT)) {
+    if (result == 0 && level == SOL_SOCKET && option == SO_ERROR && inject(FAULT_CONNECT_RESULT)) {
         *(int *) value = control[FAULT_CONNECT_RESULT].error;
     }
     return result;
@@ -169,24 +174,24 @@
 
 ssize_t read(int fd, void *buffer, size_t length) {
     REAL(read)
-    if (control != NULL && is_stream(fd) && strikes(FAULT_READ)) {
-        return failed(FAULT_READ);
+    if (control != NULL && is_stream(fd) && inject(FAULT_READ)) {
+        return fail_with_error(FAULT_READ);
     }
-    return real_read(fd, buffer, short_length(FAULT_SHORT_READ, fd, length));
+    return real_read(fd, buffer, shortened_length(FAULT_SHORT_READ, fd, length));
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     REAL(recv)
-    if (control != NULL && is_stream(fd) && strikes(FAULT_READ)) {
-        return failed(FAULT_READ);
+    if (control != NULL && is_stream(fd) && inject(FAULT_READ)) {
+        return fail_with_error(FAULT_READ);
     }
-    return real_recv(fd, buffer, short_length(FAULT_SHORT_READ, fd, length), flags);
+    return real_recv(fd, buffer, shortened_length(FAULT_SHORT_READ, fd, length), flags);
 }
 
 ssize_t recvfrom(int fd, void *buffer, size_t length, int flags, struct sockaddr *from, socklen_t *from_length) {
     REAL(recvfrom)
-    if (control != NULL && socket_type(fd) == SOCK_DGRAM && strikes(FAULT_RECEIVE)) {
-        return failed(FAULT_RECEIVE);
+    if (control != NULL && socket_type(fd) == SOCK_DGRAM && inject(FAULT_RECEIVE)) {
+        return fail_with_error(FAULT_RECEIVE);
     }
     return real_recvfrom(fd, buffer, length, flags, from, from_length);
 }
@@ -197,16 +202,16 @@
         return real_write(fd, buffer, length);
     }
     if (fd == STDOUT_FILENO || fd == STDERR_FILENO) {
-        return strikes(FAULT_LOG_WRITE) ? failed(FAULT_LOG_WRITE) : real_write(fd, buffer, length);
+        return inject(FAULT_LOG_WRITE) ? fail_with_error(FAULT_LOG_WRITE) : real_write(fd, buffer, length);
     }
     if (is_stream(fd)) {
-        if (strikes(FAULT_WRITE)) {
-            return failed(FAULT_WRITE);
+        if (inject(FAULT_WRITE)) {
+            return fail_with_error(FAULT_WRITE);
         }
-        return real_write(fd, buffer, short_length(FAULT_SHORT_WRITE, fd, length));
+        return real_write(fd, buffer, shortened_length(FAULT_SHORT_WRITE, fd, length));
     }
-    if (length == sizeof(uint64_t) && socket_type(fd) == 0 && strikes(FAULT_EVENT_WRITE)) {
-        return failed(FAULT_EVENT_WRITE);
+    if (length == sizeof(uint64_t) && socket_type(fd) == 0 && inject(FAULT_EVENT_WRITE)) {
+        return fail_with_error(FAULT_EVENT_WRITE);
     }
     return real_write(fd, buffer, length);
 }
@@ -216,13 +221,13 @@
     if (control == NULL || !is_stream(fd)) {
         return real_writev(fd, parts, count);
     }
-    if (strikes(FAULT_WRITE)) {
-        return failed(FAULT_WRITE);
+    if (inject(FAULT_WRITE)) {
+        return fail_with_error(FAULT_WRITE);
     }
     size_t length = count == 0 ? 0 : parts[0].iov_len;
-    size_t least = short_length(FAULT_SHORT_WRITE, fd, length);
-    if (least < length) {
-        struct iovec first = {parts[0].iov_base, least};
+    size_t shortened = shortened_length(FAULT_SHORT_WRITE, fd, length);
+    if (shortened < length) {
+        struct iovec first = {parts[0].iov_base, shortened};
         return real_writev(fd, &first, 1);
     }
     return real_writev(fd, parts, count);
@@ -230,56 +235,58 @@
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
     REAL(send)
-    if (control != NULL && is_stream(fd) && strikes(FAULT_WRITE)) {
-        return failed(FAULT_WRITE);
+    if (control != NULL && is_stream(fd) && inject(FAULT_WRITE)) {
+        return fail_with_error(FAULT_WRITE);
     }
-    return real_send(fd, buffer, short_length(FAULT_SHORT_WRITE, fd, length), flags);
+    return real_send(fd, buffer, shortened_length(FAULT_SHORT_WRITE, fd, length), flags);
 }
 
 ssize_t sendto(int fd, const void *buffer, size_t length, int flags, const struct sockaddr *to,
         socklen_t to_length) {
     REAL(sendto)
-    if (control != NULL && socket_type(fd) == SOCK_DGRAM && strikes(FAULT_SEND)) {
-        return failed(FAULT_SEND);
+    if (control != NULL && socket_type(fd) == SOCK_DGRAM && inject(FAULT_SEND)) {
+        return fail_with_error(FAULT_SEND);
     }
     return real_sendto(fd, buffer, length, flags, to, to_length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     REAL(epoll_wait)
-    return strikes(FAULT_WAIT) ? failed(FAULT_WAIT) : real_epoll_wait(fd, events, most, timeout);
+    return inject(FAULT_WAIT) ? fail_with_error(FAULT_WAIT)
+            : real_epoll_wait(fd, events, max_events, timeout);
 }
 
-static int opens(const char *path) {
+/* Opening a file below /proc or /dev is never made to fail. */
+static int open_fails(const char *path) {
     return control != NULL && strncmp(path, "/proc/", 6) != 0 && strncmp(path, "/dev/", 5) != 0
-            && strikes(FAULT_OPEN);
+            && inject(FAULT_OPEN);
 }
 
-#define OPEN(name) \
+#define DEFINE_OPEN(name) \
     int name(const char *path, int flags, ...) { \
         REAL(name) \
         va_list arguments; \
         va_start(arguments, flags); \
         mode_t mode = va_arg(arguments, mode_t); \
         va_end(arguments); \
-        return opens(path) ? failed(FAULT_OPEN) : real_##name(path, flags, mode); \
+        return open_fails(path) ? fail_with_error(FAULT_OPEN) : real_##name(path, flags, mode); \
     }
 
-OPEN(open)
-OPEN(open64)
+DEFINE_OPEN(open)
+DEFINE_OPEN(open64)
 
-/* A step lasts until the slot's end. */
-static int64_t step_ns(void) {
-    return control != NULL && strikes(FAULT_WALL_CLOCK) ? control[FAULT_WALL_CLOCK].step_ns : 0;
+/* The current shift of the wall clock; it lasts until the slot's end. */
+static int64_t wall_clock_step_ns(void) {
+    return control != NULL && inject(FAULT_WALL_CLOCK) ? control[FAULT_WALL_CLOCK].step_ns : 0;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime)
     int result = real_clock_gettime(clock, now);
     if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t stepped = now->tv_sec * NANOS + now->tv_nsec + step_ns();
-        now->tv_sec = stepped / NANOS;
-        now->tv_nsec = stepped % NANOS;
+        int64_t shifted_ns = now->tv_sec * NANOS_PER_SECOND + now->tv_nsec + wall_clock_step_ns();
+        now->tv_sec = shifted_ns / NANOS_PER_SECOND;
+        now->tv_nsec = shifted_ns % NANOS_PER_SECOND;
     }
     return result;
 }
@@ -288,7 +295,7 @@
     REAL(gettimeofday)
     int result = real_gettimeofday(now, zone);
     if (result == 0) {
-        now->tv_sec += step_ns() / NANOS;
+        now->tv_sec += wall_clock_step_ns() / NANOS_PER_SECOND;
     }
     return result;
 }
