--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -107,8 +107,8 @@
             case UPSTREAM_RESTART -> restartUpstream(upstream, trouble.durationMs());
             case UPSTREAM_DRAIN -> drainUpstream(upstream, trouble.durationMs());
             case PROXY_RESET -> fleet.proxies().get(upstream).resetConnections();
-            case PROXY_HOLD -> fleet.proxies().get(upstream).holdAnswers(trouble.durationMs());
-            case PROXY_CUT -> fleet.proxies().get(upstream).cutAnswers(trouble.durationMs());
+            case PROXY_HOLD -> fleet.proxies().get(upstream).delayResponses(trouble.durationMs());
+            case PROXY_CUT -> fleet.proxies().get(upstream).fragmentResponses(trouble.durationMs());
             case WATCH_RESET -> fleet.discovery().resetWatches();
             case WATCH_SILENT -> {
                 fleet.discovery().silenceWatches();
--- a/src/main/java/pondridge/testbed/FaultProxy.java
+++ b/src/main/java/pondridge/testbed/FaultProxy.java
@@ -8,91 +8,93 @@
 import java.net.Socket;
 
 /**
- * A TCP proxy before one upstream. Requests pass at once, so that what arrives behind it arrives in time; the
- * connections can be reset, and answers be held back or cut into pieces.
+ * A TCP proxy in front of one upstream. It can reset connections, delay responses and split them into small
+ * fragments. Requests are forwarded without delay, so that the upstream records the time at which the sidecar
+ * sent them.
  */
 final class FaultProxy implements AutoCloseable {
     private static final int BUFFER_BYTES = 8_192;
-    private static final int PIECE_BYTES = 50;
-    private static final long POLL_MS = 2;
+    private static final int FRAGMENT_BYTES = 50;
+    private static final long POLL_INTERVAL_MS = 2;
 
-    private final int targetPort;
-    private final LoopbackServer listener;
-    private volatile long answersHeldUntil;
-    private volatile long piecesUntil;
+    private final int upstreamPort;
+    private final LoopbackServer server;
+    private volatile long delayedUntilNanos;
+    private volatile long fragmentedUntilNanos;
 
-    FaultProxy(String name, int targetPort) throws IOException {
-        this.targetPort = targetPort;
-        this.listener = new LoopbackServer(name, this::serve);
+    FaultProxy(String name, int upstreamPort) throws IOException {
+        this.upstreamPort = upstreamPort;
+        this.server = new LoopbackServer(name, this::serve);
     }
 
     InetSocketAddress address() {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port());
     }
 
     String endpoint() {
-        return listener.endpoint();
+        return server.endpoint();
     }
 
-    /** Holds all answers back from now on for a time. */
-    void holdAnswers(long ms) {
-        answersHeldUntil = System.nanoTime() + ms * 1_000_000;
+    /** Delays all responses until the given time in milliseconds has passed. */
+    void delayResponses(long ms) {
+        delayedUntilNanos = System.nanoTime() + ms * 1_000_000;
     }
 
-    /** Passes answers on in small pieces from now on for a time. */
-    void cutAnswers(long ms) {
-        piecesUntil = System.nanoTime() + ms * 1_000_000;
+    /** Forwards responses in small fragments, from now on for the given time in milliseconds. */
+    void fragmentResponses(long ms) {
+        fragmentedUntilNanos = System.nanoTime() + ms * 1_000_000;
     }
 
     void resetConnections() {
-        listener.resetConnections();
+        server.resetConnections();
     }
 
     private void serve(Socket client) throws IOException {
-        try (Socket upstream = new Socket(InetAddress.getLoopbackAddress(), targetPort)) {
+        try (Socket upstream = new Socket(InetAddress.getLoopbackAddress(), upstreamPort)) {
             upstream.setTcpNoDelay(true);
-            LoopbackServer.startThread("proxy-answers", () -> passAnswers(upstream, client));
-            pass(client.getInputStream(), upstream.getOutputStream());
+            LoopbackServer.startThread("proxy-responses", () -> forwardResponses(upstream, client));
+            copy(client.getInputStream(), upstream.getOutputStream());
         } catch (IOException e) {
             LoopbackServer.reset(client);
         }
     }
 
-    private static void pass(InputStream in, OutputStream out) throws IOException {
+    private static void copy(InputStream in, OutputStream out) throws IOException {
         byte[] buffer = new byte[BUFFER_BYTES];
         for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
             out.write(buffer, 0, count);
         }
     }
 
-    private void passAnswers(Socket upstream, Socket client) {
+    private void forwardResponses(Socket upstream, Socket client) {
         byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = upstream.getInputStream();
             for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-                awaitRelease();
-                write(client.getOutputStream(), buffer, count);
+                awaitEndOfDelay();
+                writeResponse(client.getOutputStream(), buffer, count);
             }
             client.close();
         } catch (IOException e) {
-            // Either side reset the connection: so the other one learns it, too.
+            // One side reset its connection, so the other connection is reset, too.
             LoopbackServer.reset(client);
             LoopbackServer.reset(upstream);
         }
     }
 
-    private void awaitRelease() {
-        while (System.nanoTime() < answersHeldUntil) {
-            StubUpstream.sleep(POLL_MS);
+    private void awaitEndOfDelay() {
+        while (System.nanoTime() < delayedUntilNanos) {
+            StubUpstream.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private void write(OutputStream out, byte[] buffer, int count) throws IOException {
-        for (int at = 0; at < count;) {
-            int piece = System.nanoTime() < piecesUntil ? Math.min(PIECE_BYTES, count - at) : count - at;
-            out.write(buffer, at, piece);
-            at += piece;
-            if (at < count) {
+    private void writeResponse(OutputStream out, byte[] buffer, int count) throws IOException {
+        for (int offset = 0; offset < count;) {
+            int length = System.nanoTime() < fragmentedUntilNanos ? Math.min(FRAGMENT_BYTES, count - offset)
+                    : count - offset;
+            out.write(buffer, offset, length);
+            offset += length;
+            if (offset < count) {
                 StubUpstream.sleep(1);
             }
         }
@@ -100,6 +102,6 @@
 
     @Override
     public void close() throws IOException {
-        listener.close();
+        server.close();
     }
 }
