--- a/src/main/java/pondridge/testbed/Fleet.java
+++ b/src/main/java/pondridge/testbed/Fleet.java
@@ -82,8 +82,8 @@
 
     /** Puts an upstream on the list, or changes what the list says of it. */
     void list(int upstream, String state, long bootMs) {
-        discovery.set(new StubDiscovery.Entry(upstreams.get(upstream).uid(), proxies.get(upstream).endpoint(),
-                state, bootMs));
+        discovery.update(new StubDiscovery.ListEntry(upstreams.get(upstream).uid(),
+                proxies.get(upstream).endpoint(), state, bootMs));
     }
 
     void configure(SidecarProcess sidecar) throws IOException {
--- a/src/main/java/pondridge/testbed/StubDiscovery.java
+++ b/src/main/java/pondridge/testbed/StubDiscovery.java
@@ -15,28 +15,31 @@
 import java.util.TreeMap;
 
 /**
- * A stand-in for discovery's agent: answers for the whole list and keeps watches open. It can be moved to
- * another address, its watches can be reset or fall silent.
+ * A stub discovery service that serves the whole list of upstreams and watches on its changes. It can move to
+ * another address, and its watches can be reset or silenced.
  */
 final class StubDiscovery implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long HEARTBEAT_MS = 2_000;
-    private static final long POLL_MS = 5;
+    private static final long HEARTBEAT_INTERVAL_MS = 2_000;
+    private static final long POLL_INTERVAL_MS = 5;
 
-    /** One upstream as the list shows it. */
-    record Entry(String uid, String endpoint, String state, long bootMs) { }
+    /** One upstream's entry in the list; {@code bootMs} is its start in milliseconds since the epoch. */
+    record ListEntry(String uid, String endpoint, String state, long bootMs) { }
 
-    private record Changes(long rev, List<Entry> entries) { }
+    /** The entries that changed after some revision, with the revision that they lead to. */
+    private record Changes(long rev, List<ListEntry> entries) { }
 
-    private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final TreeMap<Long, Entry> changes = new TreeMap<>();
+    /** The current list by uid. */
+    private final Map<String, ListEntry> entries = new LinkedHashMap<>();
+    /** Every change by the revision that it created. */
+    private final TreeMap<Long, ListEntry> changes = new TreeMap<>();
     private long rev = 1;
-    private volatile LoopbackServer listener;
-    /** Watches opened before this time say nothing any more. */
-    private volatile long silencedAt = Long.MIN_VALUE;
+    private volatile LoopbackServer server;
+    /** Watches opened up to this time of {@link System#nanoTime} send nothing any more. */
+    private volatile long silencedAtNanos = Long.MIN_VALUE;
 
     StubDiscovery() throws IOException {
-        listener = listen();
+        server = listen();
     }
 
     private LoopbackServer listen() throws IOException {
@@ -44,11 +47,11 @@
     }
 
     String endpoint() {
-        return listener.endpoint();
+        return server.endpoint();
     }
 
-    /** Changes one entry; every open watch tells it. */
-    synchronized void set(Entry entry) {
+    /** Changes or deletes one entry; every open watch sends the change. */
+    synchronized void update(ListEntry entry) {
         rev++;
         changes.put(rev, entry);
         if (entry.state().equals("DELETED")) {
@@ -59,15 +62,15 @@
         notifyAll();
     }
 
-    /** The list as one JSON object. */
+    /** Returns the whole list as a JSON object. */
     synchronized ObjectNode list() {
         return message(true, rev, new ArrayList<>(entries.values()));
     }
 
-    private static ObjectNode message(boolean all, long rev, List<Entry> told) {
-        ObjectNode message = JSON.createObjectNode().put("rev", rev).put("all", all);
+    private static ObjectNode message(boolean full, long rev, List<ListEntry> entries) {
+        ObjectNode message = JSON.createObjectNode().put("rev", rev).put("all", full);
         ArrayNode targets = message.putArray("targets");
-        for (Entry entry : told) {
+        for (ListEntry entry : entries) {
             targets.addObject().put("uid", entry.uid()).put("endpoint", entry.endpoint())
                     .put("az", "a").put("model", "m").put("pod_group", 1).put("state", entry.state())
                     .put("capacity_hint", 1.0).put("boot_ms", entry.bootMs());
@@ -75,23 +78,26 @@
         return message;
     }
 
-    /** Ends all open watches with a reset. */
+    /** Resets the connections of all open watches. */
     void resetWatches() {
-        listener.resetConnections();
+        server.resetConnections();
     }
 
-    /** Lets the watches that are open now say nothing any more, while their connections stay open. */
+    /** Makes the watches that are open now send nothing any more, while their connections stay open. */
     void silenceWatches() {
-        silencedAt = System.nanoTime();
+        silencedAtNanos = System.nanoTime();
     }
 
-    /** Goes on at another address; the old one takes no new connections and ends open ones later. */
-    void move(long oldEndsAfterMs) throws IOException {
-        LoopbackServer old = listener;
-        listener = listen();
+    /**
+     * Moves to another address. The old address accepts no new connections; its open ones are reset after the
+     * given time in milliseconds.
+     */
+    void move(long resetOldAfterMs) throws IOException {
+        LoopbackServer old = server;
+        server = listen();
         old.stopAccepting();
         LoopbackServer.startThread("discovery-old", () -> {
-            StubUpstream.sleep(oldEndsAfterMs);
+            StubUpstream.sleep(resetOldAfterMs);
             old.resetConnections();
         });
     }
@@ -105,39 +111,39 @@
                         "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             } else {
                 write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                watch(connection, from(request.startLine()));
+                serveWatch(connection, parseFromRev(request.startLine()));
             }
         }
     }
 
-    private static long from(String startLine) {
+    private static long parseFromRev(String startLine) {
         String value = startLine.replaceAll(".*from=(\\d+).*", "$1");
         return Long.parseLong(value);
     }
 
-    private void watch(Socket connection, long from) throws IOException {
-        long known = from;
+    private void serveWatch(Socket connection, long fromRev) throws IOException {
+        long knownRev = fromRev;
         long openedAt = System.nanoTime();
         long nextHeartbeat = openedAt;
-        while (!connection.isClosed() && openedAt > silencedAt) {
-            Changes news = changesSince(known);
-            if (!news.entries().isEmpty()) {
-                known = news.rev();
-                writeChunk(connection, message(false, news.rev(), news.entries()) + "\n");
+        while (!connection.isClosed() && openedAt > silencedAtNanos) {
+            Changes latest = changesSince(knownRev);
+            if (!latest.entries().isEmpty()) {
+                knownRev = latest.rev();
+                writeChunk(connection, message(false, latest.rev(), latest.entries()) + "\n");
             } else if (System.nanoTime() >= nextHeartbeat) {
                 writeChunk(connection, "\n");
-                nextHeartbeat = System.nanoTime() + HEARTBEAT_MS * 1_000_000;
+                nextHeartbeat = System.nanoTime() + HEARTBEAT_INTERVAL_MS * 1_000_000;
             }
-            StubUpstream.sleep(POLL_MS);
+            StubUpstream.sleep(POLL_INTERVAL_MS);
         }
-        // Silenced: the connection stays open until the other side ends it.
+        // A silenced watch stays open until the client closes it.
         while (connection.getInputStream().read() >= 0) {
-            StubUpstream.sleep(POLL_MS);
+            StubUpstream.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private synchronized Changes changesSince(long known) {
-        return new Changes(rev, new ArrayList<>(changes.tailMap(known, false).values()));
+    private synchronized Changes changesSince(long knownRev) {
+        return new Changes(rev, new ArrayList<>(changes.tailMap(knownRev, false).values()));
     }
 
     private static void writeChunk(Socket connection, String text) throws IOException {
@@ -150,6 +156,6 @@
 
     @Override
     public void close() throws IOException {
-        listener.close();
+        server.close();
     }
 }
