--- a/src/main/java/pondridge/testbed/Soak.java
+++ b/src/main/java/pondridge/testbed/Soak.java
@@ -36,7 +36,7 @@
                 logs())) {
             fleet.start();
             StubUpstream.sleep(SETTLE_MS);
-            fleet.startLoad(plan.perSecond(), LoadGenerator.ClientMix.MIXED);
+            fleet.startLoad(plan.exchangesPerSecond(), LoadGenerator.ClientMix.MIXED);
             makeTrouble(fleet);
             StubUpstream.sleep(QUIET_LOAD_MS);
             fleet.stopLoad();
@@ -48,7 +48,7 @@
 
     private List<SidecarProcess.Log> logs() {
         List<SidecarProcess.Log> logs = new ArrayList<>();
-        for (int i = 0; i < plan.stuckLogs(); i++) {
+        for (int i = 0; i < plan.blockedLogs(); i++) {
             logs.add(SidecarProcess.Log.STUCK_PIPE);
             logs.add(SidecarProcess.Log.FULL_DISK);
         }
@@ -56,8 +56,8 @@
     }
 
     private void makeTrouble(Fleet fleet) {
-        Thread crowd = plan.crowded() ? LoopbackServer.startThread("crowd", () -> crowd(fleet)) : null;
-        new FaultInjector(fleet).play(plan.troubles());
+        Thread crowd = plan.idleClients() ? LoopbackServer.startThread("crowd", () -> crowd(fleet)) : null;
+        new FaultInjector(fleet).play(plan.faults());
         if (crowd != null) {
             try {
                 crowd.join();
@@ -102,7 +102,7 @@
     }
 
     private void endUnderLoad(Fleet fleet) {
-        fleet.startLoad(plan.perSecond(), LoadGenerator.ClientMix.MIXED);
+        fleet.startLoad(plan.exchangesPerSecond(), LoadGenerator.ClientMix.MIXED);
         StubUpstream.sleep(TimeUnit.SECONDS.toMillis(1));
         FaultInjector.terminateAll(fleet);
         fleet.stopLoad();
@@ -110,7 +110,7 @@
 
     private SoakReport report(Fleet fleet, List<ResourceUsage> usages) throws IOException {
         List<Violation> violations = InvariantChecker.check(fleet.history(), fleet.sidecars(),
-                plan.settings(), plan.crowded());
+                plan.settings(), plan.idleClients());
         SoakReport report = new SoakReport(plan, fleet.history(), violations);
         for (SidecarProcess sidecar : fleet.sidecars()) {
             report.add(sidecar, usages.get(sidecar.number()));
--- a/src/main/java/pondridge/testbed/SoakReport.java
+++ b/src/main/java/pondridge/testbed/SoakReport.java
@@ -63,9 +63,10 @@
 
     /** One line, for a list of many runs. */
     String line() {
-        return "seed " + plan.seed() + (plan.crowded() ? " crowded" : "") + ": " + requests() + " requests "
-                + ends + ", " + attempts + " attempts, p99 " + latencyMs.getValueAtPercentile(99)
-                + " ms, violations " + violations.size() + (violations.isEmpty() ? "" : " " + byInvariant());
+        return "seed " + plan.seed() + (plan.idleClients() ? " crowded" : "") + ": " + requests()
+                + " requests " + ends + ", " + attempts + " attempts, p99 "
+                + latencyMs.getValueAtPercentile(99) + " ms, violations " + violations.size()
+                + (violations.isEmpty() ? "" : " " + byInvariant());
     }
 
     private Map<Invariant, Integer> byInvariant() {
@@ -84,7 +85,7 @@
         }
         text.append("calls made to fail: ").append(injected).append('\n');
         resources.forEach(each -> text.append(each).append('\n'));
-        plan.troubles().forEach(each -> text.append("trouble at ").append(each).append('\n'));
+        plan.faults().forEach(each -> text.append("trouble at ").append(each).append('\n'));
         violations.stream().limit(MOST_SHOWN)
                 .forEach(each -> text.append("VIOLATION ").append(each).append('\n'));
         if (violations.size() > MOST_SHOWN) {
@@ -95,7 +96,7 @@
 
     /** The same for programs. */
     ObjectNode json() {
-        ObjectNode root = JSON.createObjectNode().put("seed", plan.seed()).put("crowded", plan.crowded())
+        ObjectNode root = JSON.createObjectNode().put("seed", plan.seed()).put("crowded", plan.idleClients())
                 .put("requests", requests()).put("attempts", attempts);
         ObjectNode counts = root.putObject("ends");
         ends.forEach((end, count) -> counts.put(end.name(), count));
