--- a/src/main/java/pondridge/testbed/InvariantChecker.java
+++ b/src/main/java/pondridge/testbed/InvariantChecker.java
@@ -116,7 +116,7 @@
     }
 
     private void checkRepeats(RequestRecord request, List<AttemptRecord> attempts) {
-        if (attempts.size() > SidecarSettings.TRY_LIMIT) {
+        if (attempts.size() > SidecarSettings.MAX_ATTEMPTS) {
             broken(Invariant.NOT_DUPLICATED, request + ", attempts " + attempts);
         }
         if (request.kind == RequestClass.BOOK) {
@@ -167,7 +167,7 @@
         long[] times = sent.stream().mapToLong(AttemptRecord::lastByteAt)
                 .filter(at -> at > event.toldAt() && at < rampEnd).sorted().toArray();
         for (long start : times) {
-            long end = start + SidecarSettings.TIP_AFTER_MS * NANOS_PER_MS;
+            long end = start + SidecarSettings.OVERLOAD_WINDOW_MS * NANOS_PER_MS;
             long count = Arrays.stream(times).filter(at -> at >= start && at < end).count();
             double warmth = Math.min(1, (end - event.happenedAt()) / (double) (rampEnd - event.happenedAt()));
             if (count <= allowedWhileCold(usualPerMs, warmth)) {
@@ -191,13 +191,14 @@
             }
         }
         int busiest = counts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        return busiest / (double) SidecarSettings.TIP_AFTER_MS;
+        return busiest / (double) SidecarSettings.OVERLOAD_WINDOW_MS;
     }
 
     /** The slow-start budget of the standing test, for one window that ends at this warmth from 0 to 1. */
     private double allowedWhileCold(double fullPerMs, double warmth) {
-        double share = SidecarSettings.COLD_SHARE + (1 - SidecarSettings.COLD_SHARE) * warmth;
-        double calls = settings.overloadFactor() * fullPerMs * share * SidecarSettings.TIP_AFTER_MS;
+        double share = SidecarSettings.COLD_CAPACITY_SHARE
+                + (1 - SidecarSettings.COLD_CAPACITY_SHARE) * warmth;
+        double calls = settings.overloadFactor() * fullPerMs * share * SidecarSettings.OVERLOAD_WINDOW_MS;
         boolean few = calls < FEW_CALLS;
         return few ? calls + 3 * Math.sqrt(calls) + 3 : calls + 2 * Math.sqrt(calls) + 2;
     }
