--- a/src/main/java/pondridge/testbed/ArrivalInputStream.java
+++ b/src/main/java/pondridge/testbed/ArrivalInputStream.java
@@ -4,7 +4,10 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** Remembers when the first byte since the last {@link #restart} was read; below a buffered stream. */
+/**
+ * Records when the first byte of a message is read. It lies below a buffered stream, so that the time is that
+ * of the read from the socket.
+ */
 final class ArrivalInputStream extends FilterInputStream {
     private long firstByteAt;
 
@@ -12,11 +15,12 @@
         super(in);
     }
 
-    void restart() {
+    /** Forgets the recorded time, so that the next byte counts as the first one of a message. */
+    void clearFirstByte() {
         firstByteAt = 0;
     }
 
-    /** A time of {@link System#nanoTime}, 0 if nothing has been read. */
+    /** Returns a time of {@link System#nanoTime}, or 0 if nothing has been read since the last clear. */
     long firstByteAt() {
         return firstByteAt;
     }
@@ -24,18 +28,18 @@
     @Override
     public int read() throws IOException {
         int next = super.read();
-        arrived(next);
+        recordArrival(next);
         return next;
     }
 
     @Override
     public int read(byte[] bytes, int offset, int length) throws IOException {
         int count = super.read(bytes, offset, length);
-        arrived(count);
+        recordArrival(count);
         return count;
     }
 
-    private void arrived(int count) {
+    private void recordArrival(int count) {
         if (count >= 0 && firstByteAt == 0) {
             firstByteAt = System.nanoTime();
         }
--- a/src/main/java/pondridge/testbed/StubUpstream.java
+++ b/src/main/java/pondridge/testbed/StubUpstream.java
@@ -57,7 +57,7 @@
         InputStream in = new BufferedInputStream(arrivals);
         boolean open = true;
         while (open) {
-            arrivals.restart();
+            arrivals.clearFirstByte();
             HttpMessage request = HttpMessage.read(in);
             if (request == null) {
                 return;
