--- a/src/main/java/pondridge/testbed/HttpMessage.java
+++ b/src/main/java/pondridge/testbed/HttpMessage.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * A request or response as read from a connection; header names are in lower case. Only bodies with a
- * {@code Content-Length} are read, which is all that the testbed's parties send each other.
+ * An HTTP request or response as read from a connection; header names are in lower case. Only bodies with a
+ * {@code Content-Length} are read; the testbed receives no others.
  */
 record HttpMessage(String startLine, Map<String, String> headers, byte[] body) {
-    private static final int LARGEST_HEAD_BYTES = 1 << 16;
-    private static final int STATUS_START = 9;
-    private static final int STATUS_END = 12;
+    private static final int MAX_HEAD_BYTES = 1 << 16;
+    private static final int STATUS_CODE_START = 9;
+    private static final int STATUS_CODE_END = 12;
 
     /**
      * Reads one message.
@@ -59,7 +59,7 @@
             } else if (next != '\r') {
                 lineLength++;
             }
-            if (head.size() > LARGEST_HEAD_BYTES) {
+            if (head.size() > MAX_HEAD_BYTES) {
                 throw new IOException("head too large");
             }
         }
@@ -69,18 +69,18 @@
         return null;
     }
 
-    /** The status of a response. */
+    /** Returns the status code of a response. */
     int status() {
-        return Integer.parseInt(startLine.substring(STATUS_START, STATUS_END));
+        return Integer.parseInt(startLine.substring(STATUS_CODE_START, STATUS_CODE_END));
     }
 
-    /** A header's value, or null. */
+    /** Returns a header's value, or null if the message does not have it. */
     String header(String name) {
         return headers.get(name.toLowerCase(Locale.ROOT));
     }
 
-    /** Whether the other side announces that it will close the connection. */
-    boolean closes() {
+    /** Whether the sender announces that it closes the connection after this message. */
+    boolean closesConnection() {
         return "close".equalsIgnoreCase(header("Connection"));
     }
 }
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -201,7 +201,7 @@
             if (answer == null) {
                 return End.CLOSED;
             }
-            request.detail = answer.closes() ? "closes" : "";
+            request.detail = answer.closesConnection() ? "closes" : "";
             return switch (answer.status()) {
                 case 200 -> {
                     request.servedAttempt = StubUpstream.parseAttemptNumber(request.id, answer.body());
