--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -70,7 +70,7 @@
         Consumer<SidecarProcess> begin = switch (trouble.type()) {
             // A Java machine whose files can't be opened while it starts does not start.
             case OPEN_EMFILE -> sidecar -> {
-                if (sidecar.life().readyAt != 0) {
+                if (sidecar.currentLifetime().readyAt != 0) {
                     sidecar.faults().fail(SystemFault.OPEN, Errno.EMFILE, time);
                 }
             };
@@ -167,7 +167,7 @@
     /** The sidecar can't open the new configuration for a moment; it has to follow all the same. */
     private void reloadWhileFilesFail(PlannedFault trouble) throws IOException {
         Duration time = Duration.ofMillis(Math.min(500, trouble.durationMs()));
-        fleet.sidecars().stream().filter(each -> each.life().readyAt != 0)
+        fleet.sidecars().stream().filter(each -> each.currentLifetime().readyAt != 0)
                 .forEach(each -> each.faults().fail(SystemFault.OPEN, Errno.EMFILE, time));
         reload();
     }
@@ -189,7 +189,7 @@
             terminate(sidecar);
         } else {
             sidecar.kill();
-            sidecar.awaitEnd(TimeUnit.SECONDS.toMillis(SidecarProcess.READY_LIMIT_S));
+            sidecar.awaitExit(TimeUnit.SECONDS.toMillis(SidecarProcess.READY_TIMEOUT_S));
         }
         sidecar.faults().clear();
         fleet.configure(sidecar);
@@ -204,17 +204,17 @@
         StubUpstream.sleep(SIGNAL_SPACING_MS);
         sidecar.reload();
         sidecar.signal("TERM");
-        sidecar.awaitEnd(fleet.settings().killAfterMs());
+        sidecar.awaitExit(fleet.settings().killAfterMs());
         sidecar.kill();
-        sidecar.awaitEnd(TimeUnit.SECONDS.toMillis(SidecarProcess.READY_LIMIT_S));
+        sidecar.awaitExit(TimeUnit.SECONDS.toMillis(SidecarProcess.READY_TIMEOUT_S));
     }
 
     /** Ends all sidecars in order while their clients go on; reports those that end unbidden. */
     static void terminateAll(Fleet fleet) {
         for (SidecarProcess sidecar : fleet.sidecars()) {
-            if (!sidecar.alive()) {
+            if (!sidecar.isAlive()) {
                 fleet.history().report(new Violation(Invariant.ALIVE, "sidecar " + sidecar.number()
-                        + " ended unbidden with status " + sidecar.life().exitStatus));
+                        + " ended unbidden with status " + sidecar.currentLifetime().exitStatus));
             }
             sidecar.terminate();
         }
--- a/src/main/java/pondridge/testbed/Fleet.java
+++ b/src/main/java/pondridge/testbed/Fleet.java
@@ -37,7 +37,7 @@
 
     /** A fleet whose first sidecars write their logs as {@code logs} says, the others to files. */
     Fleet(SidecarSettings settings, int sidecarCount, int upstreamCount, long seed, Path folder,
-            List<SidecarProcess.Log> logs) throws IOException {
+            List<SidecarProcess.LogDestination> logs) throws IOException {
         this.settings = settings;
         this.seed = seed;
         for (int i = 0; i < upstreamCount; i++) {
@@ -47,7 +47,8 @@
             list(i, "SERVING", 0);
         }
         for (int i = 0; i < sidecarCount; i++) {
-            SidecarProcess.Log log = i < logs.size() ? logs.get(i) : SidecarProcess.Log.FILE;
+            SidecarProcess.LogDestination log = i < logs.size() ? logs.get(i)
+                    : SidecarProcess.LogDestination.FILE;
             SidecarProcess sidecar = new SidecarProcess(i, folder.resolve("sidecar-" + i), log,
                     settings.descriptors());
             sidecars.add(sidecar);
@@ -122,7 +123,7 @@
     void expectReady(SidecarProcess sidecar) {
         if (!sidecar.awaitReady()) {
             history.report(new Violation(Invariant.ALIVE, "sidecar " + sidecar.number() + " not ready within "
-                    + SidecarProcess.READY_LIMIT_S + " s"));
+                    + SidecarProcess.READY_TIMEOUT_S + " s"));
         }
     }
 
--- a/src/main/java/pondridge/testbed/InvariantChecker.java
+++ b/src/main/java/pondridge/testbed/InvariantChecker.java
@@ -86,7 +86,7 @@
         if (crowded && request.end == End.CLOSED && !history.forwarded(request.id)) {
             return true;
         }
-        for (SidecarProcess.Life life : sidecars.get(request.sidecar).lives()) {
+        for (SidecarProcess.ProcessLifetime life : sidecars.get(request.sidecar).lifetimes()) {
             boolean heldThen = life.startedAt - request.endedAt < 0;
             boolean killed = life.killedAt != 0 && life.terminatedAt == 0
                     && life.killedAt - request.sentAt > -SOCKET_SLACK_MS * NANOS_PER_MS
--- a/src/main/java/pondridge/testbed/SidecarProcess.java
+++ b/src/main/java/pondridge/testbed/SidecarProcess.java
@@ -19,35 +19,37 @@
 import java.util.regex.Pattern;
 
 /**
- * One sidecar as a real process, started as {@code deploy/balancer.toml} says, with the library that injects
- * faults. It can be restarted in the middle of a run; it keeps its name and address.
+ * Runs one sidecar as a real process, with the command in {@code deploy/balancer.toml} and the preloaded
+ * library that injects faults. It can be restarted during a run and keeps its name and address.
  */
 final class SidecarProcess implements AutoCloseable {
-    static final long READY_LIMIT_S = 30;
+    static final long READY_TIMEOUT_S = 30;
     private static final long NANOS_PER_MS = 1_000_000;
-    /** Linux gives a pipe 16 pages. */
+    /** Fills the log's pipe, whose capacity on Linux is 16 pages. */
     private static final String FILL_PIPE = "head -c 65536 /dev/zero; ";
-    private static final int RELOAD_AFTER_MS = 1_000;
-    private static final int POLL_MS = 20;
-    private static final int READ_LIMIT_MS = 2_000;
-    private static final Pattern VIOLATIONS = Pattern.compile("violations (\\d+)");
-    private static final Pattern CONNECTIONS = Pattern.compile("(\\d+) connections to upstreams");
-    private static final Pattern OPEN_REQUESTS = Pattern.compile("state: (\\d+) requests open");
+    /** The platform sends no SIGHUP to a process that is younger. */
+    private static final int MIN_RELOAD_AGE_MS = 1_000;
+    private static final int POLL_INTERVAL_MS = 20;
+    private static final int READ_TIMEOUT_MS = 2_000;
+    private static final Pattern VIOLATION_COUNT = Pattern.compile("violations (\\d+)");
+    private static final Pattern CONNECTION_COUNT = Pattern.compile("(\\d+) connections to upstreams");
+    private static final Pattern OPEN_REQUEST_COUNT = Pattern.compile("state: (\\d+) requests open");
 
     /** Where the process writes its log. */
-    enum Log {
-        /** A file, which can be looked at after the run. */
+    enum LogDestination {
+        /** A file, which is kept after the run. */
         FILE,
-        /** A device on which every write fails for want of space. */
+        /** The device {@code /dev/full}, on which every write fails with ENOSPC. */
         FULL_DISK,
-        /** A pipe that is full and that nobody reads. */
-        STUCK_PIPE
+        /** A full pipe that nobody reads, so that every write blocks. */
+        FULL_PIPE
     }
 
     /**
-     * One process from start to end; times of {@link System#nanoTime}, 0 for what did not happen.
+     * One process from its start to its exit, in times of {@link System#nanoTime}; 0 if an event has not
+     * happened. A sidecar has one lifetime for each time that it was started.
      */
-    static final class Life {
+    static final class ProcessLifetime {
         final long startedAt = System.nanoTime();
         volatile long terminatedAt;
         volatile long killedAt;
@@ -55,22 +57,22 @@
         volatile int exitStatus;
         volatile long readyAt;
 
-        /** Whether the process was told to end, or was killed, before this time. */
-        boolean endingBefore(long at) {
+        /** Whether SIGTERM or SIGKILL was sent to the process before this time. */
+        boolean endRequestedBefore(long at) {
             return terminatedAt != 0 && terminatedAt - at < 0 || killedAt != 0 && killedAt - at < 0;
         }
     }
 
     private final int number;
     private final Path folder;
-    private final Log log;
+    private final LogDestination log;
     private final int descriptors;
     private final FaultControl faults;
     private final InetSocketAddress address;
-    private final List<Life> lives = new CopyOnWriteArrayList<>();
+    private final List<ProcessLifetime> lifetimes = new CopyOnWriteArrayList<>();
     private volatile Process process;
 
-    SidecarProcess(int number, Path folder, Log log, int descriptors) throws IOException {
+    SidecarProcess(int number, Path folder, LogDestination log, int descriptors) throws IOException {
         this.number = number;
         this.folder = folder;
         this.log = log;
@@ -96,55 +98,55 @@
         return faults;
     }
 
-    List<Life> lives() {
-        return lives;
+    List<ProcessLifetime> lifetimes() {
+        return lifetimes;
     }
 
-    Life life() {
-        return lives.get(lives.size() - 1);
+    ProcessLifetime currentLifetime() {
+        return lifetimes.get(lifetimes.size() - 1);
     }
 
     long pid() {
         return process.pid();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
     void writeConfiguration(ObjectNode configuration) throws IOException {
-        Path next = folder.resolve("config.next");
-        Files.writeString(next, configuration.toString());
-        Files.move(next, configurationFile(), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = folder.resolve("config.next");
+        Files.writeString(temporary, configuration.toString());
+        Files.move(temporary, configurationFile(), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
     private Path configurationFile() {
         return folder.resolve("config.json");
     }
 
-    /** Starts the process with the configuration written last. */
+    /** Starts the process with the configuration that was written last. */
     void start() throws IOException {
-        String limit = "ulimit -n " + descriptors + "; ";
-        String before = log == Log.STUCK_PIPE ? limit + FILL_PIPE : limit;
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + deployedCommand());
+        String descriptorLimit = "ulimit -n " + descriptors + "; ";
+        String setup = log == LogDestination.FULL_PIPE ? descriptorLimit + FILL_PIPE : descriptorLimit;
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", setup + deployedCommand());
         builder.redirectErrorStream(true);
         Map<String, String> environment = builder.environment();
         environment.put("PROXY_CONFIG", configurationFile().toString());
         environment.put("FAULT_CONTROL", faults.file().toString());
         environment.put("FAULT_SEED", Integer.toString(number + 1));
-        environment.put("LD_PRELOAD", shim().toString());
+        environment.put("LD_PRELOAD", faultLibrary().toString());
         switch (log) {
             case FILE -> builder.redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
             case FULL_DISK -> builder.redirectOutput(new File("/dev/full"));
             default -> { }
         }
         process = builder.start();
-        Life life = new Life();
-        lives.add(life);
+        ProcessLifetime lifetime = new ProcessLifetime();
+        lifetimes.add(lifetime);
         Process started = process;
         started.onExit().thenAccept(ended -> {
-            life.exitStatus = ended.exitValue();
-            life.endedAt = System.nanoTime();
+            lifetime.exitStatus = ended.exitValue();
+            lifetime.endedAt = System.nanoTime();
         });
     }
 
@@ -154,7 +156,7 @@
         return line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
     }
 
-    private static Path shim() {
+    private static Path faultLibrary() {
         Path library = Path.of("target", "libfaultshim.so").toAbsolutePath();
         if (!Files.exists(library)) {
             throw new IllegalStateException("not built: " + library + " (mvn -DskipTests verify)");
@@ -162,27 +164,27 @@
         return library;
     }
 
-    /** Whether the process says within the limit that it is ready. */
+    /** Polls the process until it is ready; returns false if it exits or the timeout passes first. */
     boolean awaitReady() {
-        long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_LIMIT_S);
-        while (System.nanoTime() < giveUpAt && process.isAlive()) {
-            if (saysReady()) {
-                life().readyAt = System.nanoTime();
+        long timeoutAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S);
+        while (System.nanoTime() < timeoutAt && process.isAlive()) {
+            if (isReady()) {
+                currentLifetime().readyAt = System.nanoTime();
                 return true;
             }
-            StubUpstream.sleep(POLL_MS);
+            StubUpstream.sleep(POLL_INTERVAL_MS);
         }
         return false;
     }
 
-    private boolean saysReady() {
+    private boolean isReady() {
         try (Socket socket = new Socket()) {
-            socket.connect(address, READ_LIMIT_MS);
-            socket.setSoTimeout(READ_LIMIT_MS);
+            socket.connect(address, READ_TIMEOUT_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
             socket.getOutputStream().write(
                     "GET /up HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-            HttpMessage answer = HttpMessage.read(new BufferedInputStream(socket.getInputStream()));
-            return answer != null && answer.status() == 200;
+            HttpMessage response = HttpMessage.read(new BufferedInputStream(socket.getInputStream()));
+            return response != null && response.status() == 200;
         } catch (IOException e) {
             return false;
         }
@@ -197,37 +199,38 @@
         }
     }
 
-    /** Tells the process to read its configuration again, unless it is too young for it (TERMS). */
+    /** Sends SIGHUP, on which the process reloads its configuration, unless it is not ready or too young. */
     void reload() throws IOException {
-        if (process.isAlive() && life().readyAt != 0 && tooYoungMs() <= 0) {
+        if (process.isAlive() && currentLifetime().readyAt != 0 && msUntilReloadable() <= 0) {
             signal("HUP");
         }
     }
 
-    /** Waits until the process may be told to read its configuration again. */
+    /** Waits until the process is old enough for SIGHUP. */
     void awaitReloadable() {
-        StubUpstream.sleep(Math.max(0, tooYoungMs()));
+        StubUpstream.sleep(Math.max(0, msUntilReloadable()));
     }
 
-    private long tooYoungMs() {
-        return RELOAD_AFTER_MS - (System.nanoTime() - life().startedAt) / NANOS_PER_MS;
+    private long msUntilReloadable() {
+        return MIN_RELOAD_AGE_MS - (System.nanoTime() - currentLifetime().startedAt) / NANOS_PER_MS;
     }
 
-    /** Tells the process to end. */
+    /** Sends SIGTERM. */
     void terminate() {
-        life().terminatedAt = System.nanoTime();
+        currentLifetime().terminatedAt = System.nanoTime();
         process.destroy();
     }
 
-    /** Ends the process at once. */
+    /** Sends SIGKILL. */
     void kill() {
         if (process != null && process.isAlive()) {
-            life().killedAt = System.nanoTime();
+            currentLifetime().killedAt = System.nanoTime();
             process.destroyForcibly();
         }
     }
 
-    boolean awaitEnd(long ms) {
+    /** Waits for the process to exit; returns whether it did within the given time in milliseconds. */
+    boolean awaitExit(long ms) {
         if (process == null) {
             return true;
         }
@@ -239,7 +242,7 @@
         }
     }
 
-    /** Holds the whole process up for a time, as a machine does that is short of processor time. */
+    /** Stops the whole process for a time, as happens on a machine that is short of processor time. */
     void stall(long ms) throws IOException {
         signal("STOP");
         StubUpstream.sleep(ms);
@@ -255,22 +258,22 @@
                 : new ArrayList<>();
     }
 
-    /** The broken invariants that the last line on the sidecar's state counts, -1 without such a line. */
-    long selfCheckViolations() throws IOException {
-        return lastNumber(VIOLATIONS);
+    /** Returns the violations that the log's last {@code state:} line reports, or -1 without such a line. */
+    long reportedViolations() throws IOException {
+        return lastReportedValue(VIOLATION_COUNT);
     }
 
-    /** The connections to upstreams that the same line counts. */
-    long countedConnections() throws IOException {
-        return lastNumber(CONNECTIONS);
+    /** Returns the connections to upstreams that the same line reports. */
+    long reportedConnections() throws IOException {
+        return lastReportedValue(CONNECTION_COUNT);
     }
 
-    /** The open requests that the same line counts. */
-    long countedRequests() throws IOException {
-        return lastNumber(OPEN_REQUESTS);
+    /** Returns the open requests that the same line reports. */
+    long reportedRequests() throws IOException {
+        return lastReportedValue(OPEN_REQUEST_COUNT);
     }
 
-    private long lastNumber(Pattern pattern) throws IOException {
+    private long lastReportedValue(Pattern pattern) throws IOException {
         long found = -1;
         for (String line : logLines()) {
             Matcher matcher = pattern.matcher(line);
@@ -281,13 +284,13 @@
         return found;
     }
 
-    /** How many file descriptors the process holds; -1 if it has ended. */
+    /** Returns how many file descriptors the process has open, or -1 if it has exited. */
     int openDescriptors() {
         String[] names = Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
         return names == null ? -1 : names.length;
     }
 
-    /** The most memory that the process has held, in kilobytes; -1 if it has ended. */
+    /** Returns the process's peak resident memory in kilobytes, or -1 if it has exited. */
     long peakMemoryKb() {
         try {
             return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
@@ -298,7 +301,7 @@
         }
     }
 
-    /** The processor time that the process has used, in milliseconds; 0 if it is not known. */
+    /** Returns the processor time that the process has used in milliseconds, or 0 if it is unknown. */
     long cpuMs() {
         return process.toHandle().info().totalCpuDuration().map(time -> time.toNanos() / NANOS_PER_MS)
                 .orElse(0L);
@@ -307,6 +310,6 @@
     @Override
     public void close() {
         kill();
-        awaitEnd(TimeUnit.SECONDS.toMillis(READY_LIMIT_S));
+        awaitExit(TimeUnit.SECONDS.toMillis(READY_TIMEOUT_S));
     }
 }
--- a/src/main/java/pondridge/testbed/Soak.java
+++ b/src/main/java/pondridge/testbed/Soak.java
@@ -46,11 +46,11 @@
         }
     }
 
-    private List<SidecarProcess.Log> logs() {
-        List<SidecarProcess.Log> logs = new ArrayList<>();
+    private List<SidecarProcess.LogDestination> logs() {
+        List<SidecarProcess.LogDestination> logs = new ArrayList<>();
         for (int i = 0; i < plan.blockedLogs(); i++) {
-            logs.add(SidecarProcess.Log.STUCK_PIPE);
-            logs.add(SidecarProcess.Log.FULL_DISK);
+            logs.add(SidecarProcess.LogDestination.FULL_PIPE);
+            logs.add(SidecarProcess.LogDestination.FULL_DISK);
         }
         return logs;
     }
@@ -88,14 +88,14 @@
             if (usage.descriptors() > RESTING_DESCRIPTORS) {
                 fleet.history().report(new Violation(Invariant.NO_LEAK, name + " rests with " + usage));
             }
-            if (sidecar.countedConnections() > 0 || sidecar.countedRequests() > 0) {
+            if (sidecar.reportedConnections() > 0 || sidecar.reportedRequests() > 0) {
                 fleet.history().report(new Violation(Invariant.NO_LEAK, name + " counts "
-                        + sidecar.countedConnections() + " connections and " + sidecar.countedRequests()
+                        + sidecar.reportedConnections() + " connections and " + sidecar.reportedRequests()
                         + " requests at rest"));
             }
-            if (sidecar.selfCheckViolations() > 0) {
+            if (sidecar.reportedViolations() > 0) {
                 fleet.history().report(new Violation(Invariant.SELF_CHECK, name + " counts "
-                        + sidecar.selfCheckViolations()));
+                        + sidecar.reportedViolations()));
             }
         }
         return usages;
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -40,7 +40,7 @@
         return fleet -> fleet.sidecars().get(0).faults().fail(fault, error, time, perMille);
     }
 
-    private Fleet fleet(SidecarProcess.Log log) throws IOException {
+    private Fleet fleet(SidecarProcess.LogDestination log) throws IOException {
         return new Fleet(SHORT_DEADLINES, 1, 4, SEED, folder, List.of(log));
     }
 
@@ -72,7 +72,7 @@
 
     private void expectHarmless(SystemFault fault, Errno error, Duration time, int perMille)
             throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     UpstreamBehaviour.CLOSING_CONNECTIONS));
             SoakReport report = play(fleet, failing(fault, error, time, perMille));
@@ -148,7 +148,7 @@
 
     @Test
     void requestsWereLostWhenTheLogsDiskWasFull() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FULL_DISK)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FULL_DISK)) {
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.FAULTY));
             SoakReport report = play(fleet, failing(SystemFault.LOG_WRITE, Errno.EIO, LONG, 1000));
             assertTrue(report.injected(SystemFault.LOG_WRITE) > 0, "the fault was never injected");
@@ -159,7 +159,7 @@
     /** A second answer to one request, some milliseconds late, was taken for the next request's. */
     @Test
     void aLateSecondAnswerWasServedToTheNextRequest() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 300, 0, 0, 2, 20)));
             expectServed(play(fleet, each -> { }));
@@ -169,7 +169,7 @@
     /** The event loop stood still in a write to a log that nobody read. */
     @Test
     void everyRequestWasLostWhenNobodyReadTheLog() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.STUCK_PIPE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FULL_PIPE)) {
             // Errors are logged, and fill the pipe.
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HANGING));
             SoakReport report = play(fleet, each -> each.upstreams()
@@ -181,7 +181,7 @@
     /** The first watch that could not be opened for want of a socket was never opened again. */
     @Test
     void drainWasMissedAfterAWatchFoundNoSocket() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
             fleet.startLoad(PER_SECOND, ClientMix.PROPER);
             fleet.sidecars().get(0).faults().fail(SystemFault.SOCKET, Errno.ENOBUFS, LONG);
@@ -198,7 +198,7 @@
     /** A start at which no socket could be had for a moment ended the process. */
     @Test
     void aStartEndedWhenNoSocketCouldBeHadForAMoment() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             SidecarProcess sidecar = fleet.sidecars().get(0);
             fleet.configure(sidecar);
             sidecar.faults().fail(SystemFault.SOCKET, Errno.ENFILE, Duration.ofMillis(1_500));
@@ -212,7 +212,7 @@
     /** A reload whose file could not be opened for a moment was given up. */
     @Test
     void discoveryWasLostAfterAReloadCouldNotOpenItsFile() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
             StubUpstream.sleep(1_000);
             fleet.sidecars().get(0).faults().fail(SystemFault.OPEN, Errno.EMFILE, Duration.ofMillis(500));
@@ -291,7 +291,7 @@
     /** Requests behind the one being answered were begun for a client that had left. */
     @Test
     void requestsWereForwardedForClientsThatRanAheadAndLeft() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 150, 250)));
