--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -134,7 +134,7 @@
             fleet.upstreams().get(upstream).crash();
             StubUpstream.sleep(downMs);
             fleet.upstreams().get(upstream).restart();
-            fleet.list(upstream, "SERVING", System.currentTimeMillis());
+            fleet.updateListEntry(upstream, "SERVING", System.currentTimeMillis());
             fleet.history().told(fleet.upstreams().get(upstream).uid(), State.STARTED);
         }
     }
@@ -143,13 +143,13 @@
     private void drainUpstream(int upstream, long ms) throws IOException {
         synchronized (upstreamLocks.get(upstream)) {
             String uid = fleet.upstreams().get(upstream).uid();
-            fleet.list(upstream, "DRAINING", 0);
+            fleet.updateListEntry(upstream, "DRAINING", 0);
             fleet.history().told(uid, State.DRAINING);
             StubUpstream.sleep(ms);
-            fleet.list(upstream, "DELETED", 0);
+            fleet.updateListEntry(upstream, "DELETED", 0);
             fleet.history().told(uid, State.REMOVED);
             StubUpstream.sleep(ms);
-            fleet.list(upstream, "SERVING", System.currentTimeMillis());
+            fleet.updateListEntry(upstream, "SERVING", System.currentTimeMillis());
             fleet.history().told(uid, State.STARTED);
         }
     }
@@ -194,7 +194,7 @@
         sidecar.faults().clear();
         fleet.configure(sidecar);
         sidecar.start();
-        fleet.expectReady(sidecar);
+        fleet.requireReady(sidecar);
         sidecar.awaitReloadable();
     }
 
--- a/src/main/java/pondridge/testbed/Fleet.java
+++ b/src/main/java/pondridge/testbed/Fleet.java
@@ -10,11 +10,12 @@
 import java.util.concurrent.Executors;
 
 /**
- * The parties of one run: stub upstreams behind proxies, discovery, sidecar processes and their clients.
+ * The processes and stubs of one run: stub upstreams behind fault proxies, a stub discovery service, sidecar
+ * processes, and the load generators that act as their clients.
  */
 final class Fleet implements AutoCloseable {
-    private static final long OLD_DISCOVERY_ENDS_MS = 1_500;
-    private static final int WARM_UP_PER_SECOND = 500;
+    private static final long OLD_DISCOVERY_RESET_MS = 1_500;
+    private static final int WARM_UP_EXCHANGES_PER_SECOND = 500;
     private static final int WARM_UP_MS = 1_500;
 
     private final SidecarSettings settings;
@@ -24,18 +25,23 @@
     private final List<StubUpstream> upstreams = new ArrayList<>();
     private final List<FaultProxy> proxies = new ArrayList<>();
     private final List<SidecarProcess> sidecars = new ArrayList<>();
-    private final List<LoadGenerator> loads = new ArrayList<>();
+    private final List<LoadGenerator> loadGenerators = new ArrayList<>();
     private final List<String> peers = new ArrayList<>();
-    private int loadPhase;
-    /** A testbed that is ended leaves no process behind. */
-    private final Thread endAll = new Thread(() -> sidecars.forEach(SidecarProcess::kill), "end-all");
-    private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
+    private int loadCount;
+    /** Kills the sidecar processes when the testbed itself is ended. */
+    private final Thread killOnShutdown =
+            new Thread(() -> sidecars.forEach(SidecarProcess::kill), "kill-sidecars");
+    private final ExecutorService clientThreads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(null, work, "client", 256 * 1024);
         thread.setDaemon(true);
         return thread;
     });
 
-    /** A fleet whose first sidecars write their logs as {@code logs} says, the others to files. */
+    /**
+     * Creates the stubs; {@link #start} starts the sidecars.
+     *
+     * @param logs the log destinations of the first sidecars; the others log to files
+     */
     Fleet(SidecarSettings settings, int sidecarCount, int upstreamCount, long seed, Path folder,
             List<SidecarProcess.LogDestination> logs) throws IOException {
         this.settings = settings;
@@ -44,7 +50,7 @@
             StubUpstream upstream = new StubUpstream("s-" + i, history, seed);
             upstreams.add(upstream);
             proxies.add(new FaultProxy("proxy-" + i, upstream.port()));
-            list(i, "SERVING", 0);
+            updateListEntry(i, "SERVING", 0);
         }
         for (int i = 0; i < sidecarCount; i++) {
             SidecarProcess.LogDestination log = i < logs.size() ? logs.get(i)
@@ -54,7 +60,7 @@
             sidecars.add(sidecar);
             peers.add(sidecar.endpoint());
         }
-        Runtime.getRuntime().addShutdownHook(endAll);
+        Runtime.getRuntime().addShutdownHook(killOnShutdown);
     }
 
     RunHistory history() {
@@ -81,12 +87,13 @@
         return settings;
     }
 
-    /** Puts an upstream on the list, or changes what the list says of it. */
-    void list(int upstream, String state, long bootMs) {
+    /** Adds an upstream to discovery's list, or changes or deletes its entry. */
+    void updateListEntry(int upstream, String state, long bootMs) {
         discovery.update(new StubDiscovery.ListEntry(upstreams.get(upstream).uid(),
                 proxies.get(upstream).endpoint(), state, bootMs));
     }
 
+    /** Writes a sidecar's configuration file with the current address of discovery and the current list. */
     void configure(SidecarProcess sidecar) throws IOException {
         ObjectNode configuration = settings.configuration(sidecar.number(), sidecars.size(),
                 sidecar.endpoint(), discovery.endpoint(), peers, discovery.list(), seed + sidecar.number());
@@ -94,68 +101,69 @@
     }
 
     /**
-     * Plays load against a stub without a sidecar, and keeps nothing of it: the first records of a cold
-     * testbed are late by some hundred milliseconds.
+     * Runs load against a stub upstream without a sidecar and discards its records. Without it, the first
+     * times that a cold testbed records are some hundred milliseconds too late.
      */
     private void warmUp() throws IOException {
-        RunHistory unused = new RunHistory();
-        try (StubUpstream upstream = new StubUpstream("warm-up", unused, seed);
+        RunHistory discarded = new RunHistory();
+        try (StubUpstream upstream = new StubUpstream("warm-up", discarded, seed);
                 FaultProxy proxy = new FaultProxy("warm-up", upstream.port())) {
-            LoadGenerator load = new LoadGenerator(0, proxy.address(), settings, unused, threads, "warm-up",
-                    LoadGenerator.ClientMix.MIXED);
-            load.start(WARM_UP_PER_SECOND);
+            LoadGenerator generator = new LoadGenerator(0, proxy.address(), settings, discarded,
+                    clientThreads, "warm-up", LoadGenerator.ClientMix.MIXED);
+            generator.start(WARM_UP_EXCHANGES_PER_SECOND);
             StubUpstream.sleep(WARM_UP_MS);
-            load.stop();
-            load.closeResting();
+            generator.stop();
+            generator.closeResting();
         }
     }
 
-    /** Starts all sidecars and waits until they are ready; reports those that are not in time. */
+    /** Starts all sidecars and waits until they are ready; reports a violation for each one that is late. */
     void start() throws IOException {
         warmUp();
         for (SidecarProcess sidecar : sidecars) {
             configure(sidecar);
             sidecar.start();
         }
-        sidecars.forEach(this::expectReady);
+        sidecars.forEach(this::requireReady);
     }
 
-    void expectReady(SidecarProcess sidecar) {
+    /** Waits until a sidecar is ready, and reports a violation if it is not in time. */
+    void requireReady(SidecarProcess sidecar) {
         if (!sidecar.awaitReady()) {
             history.report(new Violation(Invariant.ALIVE, "sidecar " + sidecar.number() + " not ready within "
                     + SidecarProcess.READY_TIMEOUT_S + " s"));
         }
     }
 
-    /** Starts the clients of all sidecars, again after {@link #stopLoad}. */
-    void startLoad(int perSecond, LoadGenerator.ClientMix manners) {
-        loadPhase++;
+    /** Starts the clients of all sidecars. Can be called again after {@link #stopLoad}. */
+    void startLoad(int exchangesPerSecond, LoadGenerator.ClientMix clientMix) {
+        loadCount++;
         for (SidecarProcess sidecar : sidecars) {
-            String run = seed + "/" + loadPhase;
-            LoadGenerator load = new LoadGenerator(sidecar.number(), sidecar.address(), settings, history,
-                    threads, run, manners);
-            loads.add(load);
-            load.start(perSecond);
+            String run = seed + "/" + loadCount;
+            LoadGenerator generator = new LoadGenerator(sidecar.number(), sidecar.address(), settings,
+                    history, clientThreads, run, clientMix);
+            loadGenerators.add(generator);
+            generator.start(exchangesPerSecond);
         }
     }
 
-    /** Stops the clients and waits until the last request has been answered or is lost. */
+    /** Stops the clients and waits until every request has its response or its time has passed. */
     void stopLoad() {
-        loads.forEach(LoadGenerator::stop);
-        int longest = settings.deadlinesMs().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        StubUpstream.sleep(longest + 2 * LoadGenerator.ANSWER_SLACK_MS);
-        loads.forEach(LoadGenerator::closeResting);
-        loads.clear();
+        loadGenerators.forEach(LoadGenerator::stop);
+        int maxDeadlineMs = settings.deadlinesMs().stream().mapToInt(Integer::intValue).max().orElseThrow();
+        StubUpstream.sleep(maxDeadlineMs + 2 * LoadGenerator.ANSWER_SLACK_MS);
+        loadGenerators.forEach(LoadGenerator::closeResting);
+        loadGenerators.clear();
     }
 
-    /** Lets discovery move, and tells the sidecars by so many SIGHUPs in a row. */
-    void moveDiscovery(int signals) throws IOException {
+    /** Moves discovery to another address and sends each sidecar the given number of SIGHUPs in a row. */
+    void moveDiscovery(int signalCount) throws IOException {
         history.discoveryMoved();
-        discovery.move(OLD_DISCOVERY_ENDS_MS);
+        discovery.move(OLD_DISCOVERY_RESET_MS);
         for (SidecarProcess sidecar : sidecars) {
             configure(sidecar);
         }
-        for (int i = 0; i < signals; i++) {
+        for (int i = 0; i < signalCount; i++) {
             for (SidecarProcess sidecar : sidecars) {
                 sidecar.reload();
             }
@@ -164,14 +172,14 @@
 
     @Override
     public void close() throws IOException {
-        Runtime.getRuntime().removeShutdownHook(endAll);
+        Runtime.getRuntime().removeShutdownHook(killOnShutdown);
         for (SidecarProcess sidecar : sidecars) {
             sidecar.kill();
         }
         for (SidecarProcess sidecar : sidecars) {
             sidecar.close();
         }
-        threads.shutdownNow();
+        clientThreads.shutdownNow();
         for (FaultProxy proxy : proxies) {
             proxy.close();
         }
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -187,7 +187,7 @@
             fleet.sidecars().get(0).faults().fail(SystemFault.SOCKET, Errno.ENOBUFS, LONG);
             fleet.discovery().resetWatches();
             StubUpstream.sleep(2 * LONG.toMillis());
-            fleet.list(0, "DRAINING", 0);
+            fleet.updateListEntry(0, "DRAINING", 0);
             fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
@@ -203,7 +203,7 @@
             fleet.configure(sidecar);
             sidecar.faults().fail(SystemFault.SOCKET, Errno.ENFILE, Duration.ofMillis(1_500));
             sidecar.start();
-            fleet.expectReady(sidecar);
+            fleet.requireReady(sidecar);
             assertTrue(sidecar.faults().injectedCounts().containsKey(SystemFault.SOCKET), "never injected");
             assertEquals(List.of(), check(fleet));
         }
@@ -219,7 +219,7 @@
             fleet.moveDiscovery(1);
             StubUpstream.sleep(4_000);
             fleet.startLoad(PER_SECOND, ClientMix.PROPER);
-            fleet.list(0, "DRAINING", 0);
+            fleet.updateListEntry(0, "DRAINING", 0);
             fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
@@ -255,12 +255,12 @@
             fleet.start();
             fleet.startLoad(2 * PER_SECOND, ClientMix.PROPER);
             StubUpstream.sleep(1_000);
-            fleet.list(0, "SERVING", System.currentTimeMillis());
+            fleet.updateListEntry(0, "SERVING", System.currentTimeMillis());
             StubUpstream.sleep(1_000);
             fleet.sidecars().get(0).faults().stepWallClock(sidecarsStep, Duration.ofMinutes(1));
             fleet.upstreams().get(0).crash();
             fleet.upstreams().get(0).restart();
-            fleet.list(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
+            fleet.updateListEntry(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
             fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.STARTED);
             StubUpstream.sleep(SidecarSettings.RAMP_MS + 500);
             long warmAt = System.nanoTime();
