--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -13,22 +13,23 @@
 import java.util.function.Consumer;
 import pondridge.testbed.RunHistory.State;
 
-/** Carries out the troubles of a plan on a fleet, each on a thread of its own so that they overlap. */
+/** Injects the faults of a {@link SoakPlan} into a fleet, each on its own thread so that they can overlap. */
 final class FaultInjector {
-    private static final Duration SMALL_STEP = Duration.ofSeconds(5);
-    private static final Duration LARGE_STEP = Duration.ofHours(1);
-    /** A sidecar is held up for up to 150 ms (standing test); the two signals take some of it. */
-    private static final int LONGEST_STALL_MS = 125;
-    private static final int SIGNALS_IN_ROW = 3;
+    private static final Duration SMALL_CLOCK_STEP = Duration.ofSeconds(5);
+    private static final Duration LARGE_CLOCK_STEP = Duration.ofHours(1);
+    /** Keeps a stall below 150 ms, which includes the time that sending SIGSTOP and SIGCONT takes. */
+    private static final int MAX_STALL_MS = 125;
+    private static final int SIGNAL_COUNT = 3;
     private static final long SIGNAL_SPACING_MS = 30;
 
     private final Fleet fleet;
-    private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
-        Thread thread = new Thread(work, "trouble");
+    private final ExecutorService faultThreads = Executors.newCachedThreadPool(work -> {
+        Thread thread = new Thread(work, "fault");
         thread.setDaemon(true);
         return thread;
     });
-    private final ReadWriteLock reloads = new ReentrantReadWriteLock(true);
+    /** Held for reading while a sidecar restarts, and for writing while discovery moves. */
+    private final ReadWriteLock reloadLock = new ReentrantReadWriteLock(true);
     private final List<Object> sidecarLocks = new ArrayList<>();
     private final List<Object> upstreamLocks = new ArrayList<>();
 
@@ -38,155 +39,159 @@
         fleet.upstreams().forEach(each -> upstreamLocks.add(new Object()));
     }
 
-    /** Begins each trouble at its time and waits for the last one to end. */
-    void play(List<PlannedFault> troubles) {
+    /** Begins each fault at its time and waits until all have ended, but no longer than a minute. */
+    void run(List<PlannedFault> faults) {
         long startedAt = System.nanoTime();
-        for (PlannedFault trouble : troubles) {
-            StubUpstream.sleep(trouble.atMs() - (System.nanoTime() - startedAt) / 1_000_000);
-            threads.execute(() -> cause(trouble));
+        for (PlannedFault fault : faults) {
+            StubUpstream.sleep(fault.atMs() - (System.nanoTime() - startedAt) / 1_000_000);
+            faultThreads.execute(() -> inject(fault));
         }
-        threads.shutdown();
+        faultThreads.shutdown();
         try {
-            threads.awaitTermination(1, TimeUnit.MINUTES);
+            faultThreads.awaitTermination(1, TimeUnit.MINUTES);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void cause(PlannedFault trouble) {
+    private void inject(PlannedFault fault) {
         try {
-            if (trouble.type().systemFault() != null) {
-                failCalls(trouble);
+            if (fault.type().systemFault() != null) {
+                injectSystemFault(fault);
             } else {
-                causeOutside(trouble);
+                injectExternalFault(fault);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void failCalls(PlannedFault trouble) {
-        Duration time = Duration.ofMillis(trouble.durationMs());
-        Consumer<SidecarProcess> begin = switch (trouble.type()) {
-            // A Java machine whose files can't be opened while it starts does not start.
+    private void injectSystemFault(PlannedFault fault) {
+        Duration duration = Duration.ofMillis(fault.durationMs());
+        Consumer<SidecarProcess> injection = switch (fault.type()) {
+            // Not while the process starts: a JVM that cannot open its files does not start.
             case OPEN_EMFILE -> sidecar -> {
                 if (sidecar.currentLifetime().readyAt != 0) {
-                    sidecar.faults().fail(SystemFault.OPEN, Errno.EMFILE, time);
+                    sidecar.faults().fail(SystemFault.OPEN, Errno.EMFILE, duration);
                 }
             };
-            case CLOCK_FORWARD -> sidecar -> sidecar.faults().stepWallClock(step(trouble), time);
-            case CLOCK_BACK -> sidecar -> sidecar.faults().stepWallClock(step(trouble).negated(), time);
-            default -> sidecar -> sidecar.faults().fail(trouble.type().systemFault(),
-                    trouble.type().error(), time, trouble.type().perMille());
+            case CLOCK_FORWARD -> sidecar -> sidecar.faults().stepWallClock(clockStep(fault), duration);
+            case CLOCK_BACK ->
+                    sidecar -> sidecar.faults().stepWallClock(clockStep(fault).negated(), duration);
+            default -> sidecar -> sidecar.faults().fail(fault.type().systemFault(),
+                    fault.type().error(), duration, fault.type().perMille());
         };
-        if (trouble.target() == PlannedFault.ALL) {
-            fleet.sidecars().forEach(begin);
+        if (fault.target() == PlannedFault.ALL) {
+            fleet.sidecars().forEach(injection);
         } else {
-            begin.accept(sidecar(trouble));
+            injection.accept(targetSidecar(fault));
         }
     }
 
-    private static Duration step(PlannedFault trouble) {
-        return trouble.target() % 2 == 0 ? SMALL_STEP : LARGE_STEP;
+    private static Duration clockStep(PlannedFault fault) {
+        return fault.target() % 2 == 0 ? SMALL_CLOCK_STEP : LARGE_CLOCK_STEP;
     }
 
-    private SidecarProcess sidecar(PlannedFault trouble) {
-        return fleet.sidecars().get(trouble.target() % fleet.sidecars().size());
+    private SidecarProcess targetSidecar(PlannedFault fault) {
+        return fleet.sidecars().get(fault.target() % fleet.sidecars().size());
     }
 
-    private int upstream(PlannedFault trouble) {
-        return trouble.target() % fleet.upstreams().size();
+    private int targetUpstream(PlannedFault fault) {
+        return fault.target() % fleet.upstreams().size();
     }
 
-    private void causeOutside(PlannedFault trouble) throws IOException {
-        int upstream = upstream(trouble);
-        switch (trouble.type()) {
-            case STALL -> sidecar(trouble).stall(Math.min(LONGEST_STALL_MS, trouble.durationMs()));
-            case UPSTREAM_TROUBLED -> inMood(upstream, UpstreamBehaviour.FAULTY, trouble.durationMs());
-            case UPSTREAM_HUNG -> inMood(upstream, UpstreamBehaviour.HANGING, trouble.durationMs());
-            case UPSTREAM_RESTART -> restartUpstream(upstream, trouble.durationMs());
-            case UPSTREAM_DRAIN -> drainUpstream(upstream, trouble.durationMs());
+    private void injectExternalFault(PlannedFault fault) throws IOException {
+        int upstream = targetUpstream(fault);
+        switch (fault.type()) {
+            case STALL -> targetSidecar(fault).stall(Math.min(MAX_STALL_MS, fault.durationMs()));
+            case UPSTREAM_TROUBLED -> setBehaviourFor(upstream, UpstreamBehaviour.FAULTY, fault.durationMs());
+            case UPSTREAM_HUNG -> setBehaviourFor(upstream, UpstreamBehaviour.HANGING, fault.durationMs());
+            case UPSTREAM_RESTART -> restartUpstream(upstream, fault.durationMs());
+            case UPSTREAM_DRAIN -> drainUpstream(upstream, fault.durationMs());
             case PROXY_RESET -> fleet.proxies().get(upstream).resetConnections();
-            case PROXY_HOLD -> fleet.proxies().get(upstream).delayResponses(trouble.durationMs());
-            case PROXY_CUT -> fleet.proxies().get(upstream).fragmentResponses(trouble.durationMs());
+            case PROXY_HOLD -> fleet.proxies().get(upstream).delayResponses(fault.durationMs());
+            case PROXY_CUT -> fleet.proxies().get(upstream).fragmentResponses(fault.durationMs());
             case WATCH_RESET -> fleet.discovery().resetWatches();
             case WATCH_SILENT -> {
                 fleet.discovery().silenceWatches();
                 fleet.history().watchesSilenced();
             }
-            case RELOAD -> reload();
-            case RELOAD_UNREADABLE -> reloadWhileFilesFail(trouble);
-            case TERMINATE -> restartSidecar(trouble, true);
-            case KILL -> restartSidecar(trouble, false);
-            default -> throw new IllegalStateException(trouble.toString());
+            case RELOAD -> moveDiscovery();
+            case RELOAD_UNREADABLE -> moveDiscoveryWhileOpenFails(fault);
+            case TERMINATE -> restartSidecar(fault, true);
+            case KILL -> restartSidecar(fault, false);
+            default -> throw new IllegalStateException(fault.toString());
         }
     }
 
-    private void inMood(int upstream, UpstreamBehaviour mood, long ms) {
-        fleet.upstreams().get(upstream).setBehaviour(mood);
-        StubUpstream.sleep(ms);
+    private void setBehaviourFor(int upstream, UpstreamBehaviour behaviour, long durationMs) {
+        fleet.upstreams().get(upstream).setBehaviour(behaviour);
+        StubUpstream.sleep(durationMs);
         fleet.upstreams().get(upstream).setBehaviour(UpstreamBehaviour.HEALTHY);
     }
 
-    /** The upstream's process dies and starts anew, cold. */
-    private void restartUpstream(int upstream, long downMs) throws IOException {
+    /** Makes the upstream's process die and restart cold. */
+    private void restartUpstream(int upstream, long downtimeMs) throws IOException {
         synchronized (upstreamLocks.get(upstream)) {
             fleet.upstreams().get(upstream).crash();
-            StubUpstream.sleep(downMs);
+            StubUpstream.sleep(downtimeMs);
             fleet.upstreams().get(upstream).restart();
             fleet.updateListEntry(upstream, "SERVING", System.currentTimeMillis());
             fleet.history().told(fleet.upstreams().get(upstream).uid(), State.STARTED);
         }
     }
 
-    /** The upstream drains, leaves the list, and comes back cold. */
-    private void drainUpstream(int upstream, long ms) throws IOException {
+    /** Drains the upstream, removes it from the list and adds it again cold, with pauses in between. */
+    private void drainUpstream(int upstream, long durationMs) throws IOException {
         synchronized (upstreamLocks.get(upstream)) {
             String uid = fleet.upstreams().get(upstream).uid();
             fleet.updateListEntry(upstream, "DRAINING", 0);
             fleet.history().told(uid, State.DRAINING);
-            StubUpstream.sleep(ms);
+            StubUpstream.sleep(durationMs);
             fleet.updateListEntry(upstream, "DELETED", 0);
             fleet.history().told(uid, State.REMOVED);
-            StubUpstream.sleep(ms);
+            StubUpstream.sleep(durationMs);
             fleet.updateListEntry(upstream, "SERVING", System.currentTimeMillis());
             fleet.history().told(uid, State.STARTED);
         }
     }
 
-    /** Not while a sidecar restarts: it would read the old file, and is too young for the signal. */
-    private void reload() throws IOException {
-        reloads.writeLock().lock();
+    /**
+     * Moves discovery and signals the sidecars. This does not happen while a sidecar restarts, which would
+     * read the old configuration file and be too young for the signal.
+     */
+    private void moveDiscovery() throws IOException {
+        reloadLock.writeLock().lock();
         try {
-            fleet.moveDiscovery(SIGNALS_IN_ROW);
+            fleet.moveDiscovery(SIGNAL_COUNT);
         } finally {
-            reloads.writeLock().unlock();
+            reloadLock.writeLock().unlock();
         }
     }
 
-    /** The sidecar can't open the new configuration for a moment; it has to follow all the same. */
-    private void reloadWhileFilesFail(PlannedFault trouble) throws IOException {
-        Duration time = Duration.ofMillis(Math.min(500, trouble.durationMs()));
+    /** Moves discovery while the sidecars cannot open the new configuration; they have to load it later. */
+    private void moveDiscoveryWhileOpenFails(PlannedFault fault) throws IOException {
+        Duration duration = Duration.ofMillis(Math.min(500, fault.durationMs()));
         fleet.sidecars().stream().filter(each -> each.currentLifetime().readyAt != 0)
-                .forEach(each -> each.faults().fail(SystemFault.OPEN, Errno.EMFILE, time));
-        reload();
+                .forEach(each -> each.faults().fail(SystemFault.OPEN, Errno.EMFILE, duration));
+        moveDiscovery();
     }
 
-    private void restartSidecar(PlannedFault trouble, boolean orderly) throws IOException {
-        SidecarProcess sidecar = sidecar(trouble);
+    private void restartSidecar(PlannedFault fault, boolean graceful) throws IOException {
+        SidecarProcess sidecar = targetSidecar(fault);
         synchronized (sidecarLocks.get(sidecar.number())) {
-            reloads.readLock().lock();
+            reloadLock.readLock().lock();
             try {
-                restart(sidecar, orderly);
+                restart(sidecar, graceful);
             } finally {
-                reloads.readLock().unlock();
+                reloadLock.readLock().unlock();
             }
         }
     }
 
-    private void restart(SidecarProcess sidecar, boolean orderly) throws IOException {
-        if (orderly) {
-            terminate(sidecar);
+    private void restart(SidecarProcess sidecar, boolean graceful) throws IOException {
+        if (graceful) {
+            terminateAndKill(sidecar);
         } else {
             sidecar.kill();
             sidecar.awaitExit(TimeUnit.SECONDS.toMillis(SidecarProcess.READY_TIMEOUT_S));
@@ -198,8 +203,8 @@
         sidecar.awaitReloadable();
     }
 
-    /** SIGTERM, more signals behind it, and SIGKILL at the earliest moment. */
-    private void terminate(SidecarProcess sidecar) throws IOException {
+    /** Sends SIGTERM, then SIGHUP and a second SIGTERM, and SIGKILL at the earliest time that is allowed. */
+    private void terminateAndKill(SidecarProcess sidecar) throws IOException {
         sidecar.terminate();
         StubUpstream.sleep(SIGNAL_SPACING_MS);
         sidecar.reload();
@@ -209,7 +214,10 @@
         sidecar.awaitExit(TimeUnit.SECONDS.toMillis(SidecarProcess.READY_TIMEOUT_S));
     }
 
-    /** Ends all sidecars in order while their clients go on; reports those that end unbidden. */
+    /**
+     * Terminates all sidecars while their clients still send requests, and kills those that do not exit in
+     * time. Reports a violation for each one that had already exited.
+     */
     static void terminateAll(Fleet fleet) {
         for (SidecarProcess sidecar : fleet.sidecars()) {
             if (!sidecar.isAlive()) {
--- a/src/main/java/pondridge/testbed/Soak.java
+++ b/src/main/java/pondridge/testbed/Soak.java
@@ -57,7 +57,7 @@
 
     private void makeTrouble(Fleet fleet) {
         Thread crowd = plan.idleClients() ? LoopbackServer.startThread("crowd", () -> crowd(fleet)) : null;
-        new FaultInjector(fleet).play(plan.faults());
+        new FaultInjector(fleet).run(plan.faults());
         if (crowd != null) {
             try {
                 crowd.join();
