--- a/src/main/java/pondridge/testbed/LoopbackServer.java
+++ b/src/main/java/pondridge/testbed/LoopbackServer.java
@@ -11,8 +11,7 @@
 
 /**
  * A server on a port of the loopback address that handles each connection on a thread of its own. It can stop
- * as if its process had died, which resets its connections and refuses new ones, and restart on the same
- * port.
+ * as if its process had died, which resets connections and refuses new ones, and restart on the same port.
  */
 final class LoopbackServer implements AutoCloseable {
     private static final int BACKLOG = 1024;
--- a/src/main/java/pondridge/testbed/PlannedFault.java
+++ b/src/main/java/pondridge/testbed/PlannedFault.java
@@ -4,7 +4,7 @@
  * One fault of a run as {@link SoakPlan} draws it; {@link FaultInjector} injects it.
  *
  * @param atMs when the fault begins, in milliseconds from the start of the fault phase
- * @param durationMs how long the fault lasts, in milliseconds; faults that happen at one moment ignore it
+ * @param durationMs how long the fault lasts, in milliseconds; a fault without a duration ignores it
  * @param target selects the sidecar or upstream, modulo their number; {@link #ALL} stands for all sidecars.
  *     For a clock fault it also selects the size of the step
  */
--- a/src/main/java/pondridge/testbed/Ports.java
+++ b/src/main/java/pondridge/testbed/Ports.java
@@ -12,6 +12,7 @@
  */
 final class Ports {
     private static final int FIRST_PORT = 12_000;
+    /** Exclusive. */
     private static final int END_PORT = 32_000;
     private static final int BACKLOG = 1;
 
--- a/src/main/java/pondridge/testbed/SoakPlan.java
+++ b/src/main/java/pondridge/testbed/SoakPlan.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 
 /**
- * The plan of one soak run, drawn from its seed. The same seed and size always give the same plan.
+ * The plan of one soak run, drawn from its seed. The same arguments always give the same plan.
  *
  * @param faultPhaseMs length of the phase in which faults begin, in milliseconds; a fault may outlast it
  * @param exchangesPerSecond how many exchanges the clients of each sidecar begin per second
