--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -64,7 +64,7 @@
     /** Begins; exchanges go on until {@link #stop}. */
     void start(int perSecond) {
         long interval = 1_000_000_000L / perSecond;
-        pacer = LoopbackServer.thread("load-" + sidecar, () -> {
+        pacer = LoopbackServer.startThread("load-" + sidecar, () -> {
             long next = System.nanoTime();
             for (int number = 0; !stopped; number++) {
                 int mine = number;
@@ -94,7 +94,7 @@
     }
 
     private void exchange(int number) {
-        Random random = SeededRandom.random(number, run + "/" + sidecar);
+        Random random = SeededRandom.create(number, run + "/" + sidecar);
         ClientBehaviour behaviour = manners == ClientMix.MIXED ? ClientBehaviour.draw(random)
                 : ClientBehaviour.PROPER;
         switch (behaviour) {
@@ -201,10 +201,10 @@
             if (answer == null) {
                 return End.CLOSED;
             }
-            request.detail = answer.closes() ? "closes" : "";
+            request.detail = answer.closesConnection() ? "closes" : "";
             return switch (answer.status()) {
                 case 200 -> {
-                    request.servedAttempt = StubUpstream.attemptOf(request.id, answer.body());
+                    request.servedAttempt = StubUpstream.parseAttemptNumber(request.id, answer.body());
                     yield End.SERVED;
                 }
                 case 429, 503 -> End.REFUSED;
--- a/src/main/java/pondridge/testbed/Soak.java
+++ b/src/main/java/pondridge/testbed/Soak.java
@@ -36,7 +36,7 @@
                 logs())) {
             fleet.start();
             StubUpstream.sleep(SETTLE_MS);
-            fleet.startLoad(plan.perSecond(), LoadGenerator.ClientMix.MIXED);
+            fleet.startLoad(plan.exchangesPerSecond(), LoadGenerator.ClientMix.MIXED);
             makeTrouble(fleet);
             StubUpstream.sleep(QUIET_LOAD_MS);
             fleet.stopLoad();
@@ -46,18 +46,18 @@
         }
     }
 
-    private List<SidecarProcess.Log> logs() {
-        List<SidecarProcess.Log> logs = new ArrayList<>();
-        for (int i = 0; i < plan.stuckLogs(); i++) {
-            logs.add(SidecarProcess.Log.STUCK_PIPE);
-            logs.add(SidecarProcess.Log.FULL_DISK);
+    private List<SidecarProcess.LogDestination> logs() {
+        List<SidecarProcess.LogDestination> logs = new ArrayList<>();
+        for (int i = 0; i < plan.blockedLogs(); i++) {
+            logs.add(SidecarProcess.LogDestination.FULL_PIPE);
+            logs.add(SidecarProcess.LogDestination.FULL_DISK);
         }
         return logs;
     }
 
     private void makeTrouble(Fleet fleet) {
-        Thread crowd = plan.crowded() ? LoopbackServer.thread("crowd", () -> crowd(fleet)) : null;
-        new FaultInjector(fleet).play(plan.troubles());
+        Thread crowd = plan.idleClients() ? LoopbackServer.startThread("crowd", () -> crowd(fleet)) : null;
+        new FaultInjector(fleet).run(plan.faults());
         if (crowd != null) {
             try {
                 crowd.join();
@@ -88,21 +88,21 @@
             if (usage.descriptors() > RESTING_DESCRIPTORS) {
                 fleet.history().report(new Violation(Invariant.NO_LEAK, name + " rests with " + usage));
             }
-            if (sidecar.countedConnections() > 0 || sidecar.countedRequests() > 0) {
+            if (sidecar.reportedConnections() > 0 || sidecar.reportedRequests() > 0) {
                 fleet.history().report(new Violation(Invariant.NO_LEAK, name + " counts "
-                        + sidecar.countedConnections() + " connections and " + sidecar.countedRequests()
+                        + sidecar.reportedConnections() + " connections and " + sidecar.reportedRequests()
                         + " requests at rest"));
             }
-            if (sidecar.selfCheckViolations() > 0) {
+            if (sidecar.reportedViolations() > 0) {
                 fleet.history().report(new Violation(Invariant.SELF_CHECK, name + " counts "
-                        + sidecar.selfCheckViolations()));
+                        + sidecar.reportedViolations()));
             }
         }
         return usages;
     }
 
     private void endUnderLoad(Fleet fleet) {
-        fleet.startLoad(plan.perSecond(), LoadGenerator.ClientMix.MIXED);
+        fleet.startLoad(plan.exchangesPerSecond(), LoadGenerator.ClientMix.MIXED);
         StubUpstream.sleep(TimeUnit.SECONDS.toMillis(1));
         FaultInjector.terminateAll(fleet);
         fleet.stopLoad();
@@ -110,7 +110,7 @@
 
     private SoakReport report(Fleet fleet, List<ResourceUsage> usages) throws IOException {
         List<Violation> violations = InvariantChecker.check(fleet.history(), fleet.sidecars(),
-                plan.settings(), plan.crowded());
+                plan.settings(), plan.idleClients());
         SoakReport report = new SoakReport(plan, fleet.history(), violations);
         for (SidecarProcess sidecar : fleet.sidecars()) {
             report.add(sidecar, usages.get(sidecar.number()));
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -40,7 +40,7 @@
         return fleet -> fleet.sidecars().get(0).faults().fail(fault, error, time, perMille);
     }
 
-    private Fleet fleet(SidecarProcess.Log log) throws IOException {
+    private Fleet fleet(SidecarProcess.LogDestination log) throws IOException {
         return new Fleet(SHORT_DEADLINES, 1, 4, SEED, folder, List.of(log));
     }
 
@@ -72,8 +72,9 @@
 
     private void expectHarmless(SystemFault fault, Errno error, Duration time, int perMille)
             throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.CLOSING));
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
+                    UpstreamBehaviour.CLOSING_CONNECTIONS));
             SoakReport report = play(fleet, failing(fault, error, time, perMille));
             assertTrue(report.injected(fault) > 0, "the fault was never injected");
             expectServed(report);
@@ -147,8 +148,8 @@
 
     @Test
     void requestsWereLostWhenTheLogsDiskWasFull() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FULL_DISK)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.TROUBLED));
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FULL_DISK)) {
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.FAULTY));
             SoakReport report = play(fleet, failing(SystemFault.LOG_WRITE, Errno.EIO, LONG, 1000));
             assertTrue(report.injected(SystemFault.LOG_WRITE) > 0, "the fault was never injected");
             assertEquals(List.of(), report.violations(), report::text);
@@ -158,8 +159,8 @@
     /** A second answer to one request, some milliseconds late, was taken for the next request's. */
     @Test
     void aLateSecondAnswerWasServedToTheNextRequest() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
-            fleet.upstreams().forEach(upstream -> upstream.mood(
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 300, 0, 0, 2, 20)));
             expectServed(play(fleet, each -> { }));
         }
@@ -168,11 +169,11 @@
     /** The event loop stood still in a write to a log that nobody read. */
     @Test
     void everyRequestWasLostWhenNobodyReadTheLog() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.STUCK_PIPE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FULL_PIPE)) {
             // Errors are logged, and fill the pipe.
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HUNG));
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HANGING));
             SoakReport report = play(fleet, each -> each.upstreams()
-                    .forEach(upstream -> upstream.mood(UpstreamBehaviour.SOUND)));
+                    .forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HEALTHY)));
             assertEquals(List.of(), report.violations(), report::text);
         }
     }
@@ -180,13 +181,13 @@
     /** The first watch that could not be opened for want of a socket was never opened again. */
     @Test
     void drainWasMissedAfterAWatchFoundNoSocket() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
             fleet.startLoad(PER_SECOND, ClientMix.PROPER);
             fleet.sidecars().get(0).faults().fail(SystemFault.SOCKET, Errno.ENOBUFS, LONG);
             fleet.discovery().resetWatches();
             StubUpstream.sleep(2 * LONG.toMillis());
-            fleet.list(0, "DRAINING", 0);
+            fleet.updateListEntry(0, "DRAINING", 0);
             fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
@@ -197,13 +198,13 @@
     /** A start at which no socket could be had for a moment ended the process. */
     @Test
     void aStartEndedWhenNoSocketCouldBeHadForAMoment() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             SidecarProcess sidecar = fleet.sidecars().get(0);
             fleet.configure(sidecar);
             sidecar.faults().fail(SystemFault.SOCKET, Errno.ENFILE, Duration.ofMillis(1_500));
             sidecar.start();
-            fleet.expectReady(sidecar);
-            assertTrue(sidecar.faults().hits().containsKey(SystemFault.SOCKET), "never injected");
+            fleet.requireReady(sidecar);
+            assertTrue(sidecar.faults().injectedCounts().containsKey(SystemFault.SOCKET), "never injected");
             assertEquals(List.of(), check(fleet));
         }
     }
@@ -211,14 +212,14 @@
     /** A reload whose file could not be opened for a moment was given up. */
     @Test
     void discoveryWasLostAfterAReloadCouldNotOpenItsFile() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
             StubUpstream.sleep(1_000);
             fleet.sidecars().get(0).faults().fail(SystemFault.OPEN, Errno.EMFILE, Duration.ofMillis(500));
             fleet.moveDiscovery(1);
             StubUpstream.sleep(4_000);
             fleet.startLoad(PER_SECOND, ClientMix.PROPER);
-            fleet.list(0, "DRAINING", 0);
+            fleet.updateListEntry(0, "DRAINING", 0);
             fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
@@ -254,12 +255,12 @@
             fleet.start();
             fleet.startLoad(2 * PER_SECOND, ClientMix.PROPER);
             StubUpstream.sleep(1_000);
-            fleet.list(0, "SERVING", System.currentTimeMillis());
+            fleet.updateListEntry(0, "SERVING", System.currentTimeMillis());
             StubUpstream.sleep(1_000);
             fleet.sidecars().get(0).faults().stepWallClock(sidecarsStep, Duration.ofMinutes(1));
             fleet.upstreams().get(0).crash();
-            fleet.upstreams().get(0).startAgain();
-            fleet.list(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
+            fleet.upstreams().get(0).restart();
+            fleet.updateListEntry(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
             fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.STARTED);
             StubUpstream.sleep(SidecarSettings.RAMP_MS + 500);
             long warmAt = System.nanoTime();
@@ -278,7 +279,7 @@
         SidecarSettings longDeadlines = new SidecarSettings(List.of(8_000, 8_000, 8_000), 256, true, 1.2);
         try (Fleet fleet = new Fleet(longDeadlines, 1, 4, SEED, folder, List.of())) {
             fleet.start();
-            fleet.upstreams().forEach(upstream -> upstream.mood(UpstreamBehaviour.HUNG));
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HANGING));
             fleet.startLoad(20, ClientMix.PROPER);
             StubUpstream.sleep(500);
             FaultInjector.terminateAll(fleet);
@@ -290,9 +291,9 @@
     /** Requests behind the one being answered were begun for a client that had left. */
     @Test
     void requestsWereForwardedForClientsThatRanAheadAndLeft() throws IOException {
-        try (Fleet fleet = fleet(SidecarProcess.Log.FILE)) {
+        try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
-            fleet.upstreams().forEach(upstream -> upstream.mood(
+            fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 150, 250)));
             for (int i = 0; i < 10; i++) {
                 runAhead(fleet, i);
@@ -309,7 +310,7 @@
                 String id = "ahead-" + number + "-" + i;
                 RequestRecord request = new RequestRecord(id, 0, RequestClass.LOOK, 400);
                 fleet.history().add(request);
-                text.append(LoadGenerator.text(request, SeededRandom.random(SEED, request.id)));
+                text.append(LoadGenerator.text(request, SeededRandom.create(SEED, request.id)));
             }
             client.send(text.toString());
             long now = System.nanoTime();
