--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -110,7 +110,7 @@
     void finish() {
         ending = true;
         if (busy && request != 0) {
-            dispatcher.giveUp(request);
+            dispatcher.abort(request);
         } else if (!busy && decoder.holdsPartialRequest()) {
             busy = true;
             keepAlive = false;
@@ -176,7 +176,7 @@
         if (!gone && taken < position) {
             rushedUntil = Math.max(rushedUntil, position);
             if (busy && request != 0) {
-                dispatcher.giveUp(request);
+                dispatcher.abort(request);
             }
         }
     }
@@ -218,7 +218,7 @@
         if (next.message() == null) {
             taken++;
             request = 0;
-            if (dispatcher.guard().mayStart(present())) {
+            if (dispatcher.guard().mayStart(isConnected())) {
                 answer(Responses.refused(0));
             }
             return;
@@ -240,7 +240,7 @@
         request = 0;
         taken++;
         cancelPatience();
-        if (!dispatcher.guard().mayStart(present())) {
+        if (!dispatcher.guard().mayStart(isConnected())) {
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(message);
@@ -251,7 +251,7 @@
         String path = RequestParser.path(message);
         if (crowded || frontend.finishing() || taken < rushedUntil) {
             // A bare close would lose what the client has already written.
-            dispatcher.turnedAway(message.headers());
+            dispatcher.refusedForCapacity(message.headers());
             answer(Responses.refused(0));
         } else if (path.equals("/up")) {
             boolean up = frontend.up();
@@ -290,22 +290,22 @@
     }
 
     @Override
-    public boolean present() {
+    public boolean isConnected() {
         return !gone && channel.isActive();
     }
 
     @Override
-    public void served(RequestDispatcher.UpstreamResponse answer) {
+    public void onServed(RequestDispatcher.UpstreamResponse answer) {
         answer(Responses.served(answer));
     }
 
     @Override
-    public void refused(long wait) {
+    public void onRefused(long wait) {
         answer(Responses.refused(wait));
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         answer(Responses.plain(HttpResponseStatus.BAD_GATEWAY, "failed"));
     }
 
@@ -350,7 +350,7 @@
             if (ending) {
                 dispatcher.guard().report(LifecycleGuard.Violation.CLOSED_UNANSWERED, "request " + request);
             }
-            dispatcher.hangup(request);
+            dispatcher.clientDisconnected(request);
         }
     }
 
--- a/src/main/java/pondridge/sidecar/ConfigReloader.java
+++ b/src/main/java/pondridge/sidecar/ConfigReloader.java
@@ -31,7 +31,7 @@
             InetSocketAddress discovery =
                     IoRetry.whileInputFails(LONGEST_TRY_MS, () -> Config.read(file)).discovery();
             System.err.println("pondridge: configuration read again, discovery at " + discovery);
-            loop.execute(() -> dispatcher.discoveryMoved(discovery));
+            loop.execute(() -> dispatcher.setDiscoveryAddress(discovery));
         } catch (RuntimeException | IOException e) {
             System.err.println("pondridge: configuration not taken over, the last one holds: "
                     + e.getMessage());
--- a/src/main/java/pondridge/sidecar/Dialer.java
+++ b/src/main/java/pondridge/sidecar/Dialer.java
@@ -25,10 +25,10 @@
     /** Learns the result of one dial: one of the two methods is called once, unless the dial is cancelled. */
     interface Listener {
         /** The connection is up and belongs to the listener, which adds its handlers at once. */
-        void connected(Channel channel);
+        void onConnected(Channel channel);
 
         /** The other side refused, could not be reached, or did not answer in time. */
-        void failed(Throwable cause);
+        void onFailed(Throwable cause);
     }
 
     private final EventLoop loop;
@@ -109,7 +109,7 @@
             }
             if (cause == null) {
                 over = true;
-                listener.connected(channel);
+                listener.onConnected(channel);
                 return;
             }
             channel.close();
@@ -118,7 +118,7 @@
                 tryAgain(cause);
             } else {
                 over = true;
-                listener.failed(cause);
+                listener.onFailed(cause);
             }
         }
 
--- a/src/main/java/pondridge/sidecar/DiscoveryClient.java
+++ b/src/main/java/pondridge/sidecar/DiscoveryClient.java
@@ -192,14 +192,14 @@
         }
 
         @Override
-        public void connected(Channel made) {
+        public void onConnected(Channel made) {
             channel = made;
             made.pipeline().addLast(new HttpClientCodec(), this);
             ask();
         }
 
         @Override
-        public void failed(Throwable cause) {
+        public void onFailed(Throwable cause) {
             fail();
         }
 
--- a/src/main/java/pondridge/sidecar/GracefulShutdown.java
+++ b/src/main/java/pondridge/sidecar/GracefulShutdown.java
@@ -59,7 +59,7 @@
         loop.schedule(frontend::close, ACCEPT_MS, TimeUnit.MILLISECONDS);
         loop.schedule(frontend::finish, killAfterMs - FINISH_BEFORE_KILL_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(() -> {
-            if (frontend.empty() && dispatcher.idle()) {
+            if (frontend.empty() && dispatcher.allRequestsFinished()) {
                 // What still gets in before the process has ended is refused, and not begun.
                 frontend.finish();
                 done.countDown();
--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -67,14 +67,14 @@
     /** Takes a request's one final answer. */
     interface ClientCallback {
         /** Whether the client is still connected. */
-        boolean present();
+        boolean isConnected();
 
-        void served(UpstreamResponse answer);
+        void onServed(UpstreamResponse answer);
 
         /** Refused: trying again is harmless, best after {@code wait} nanoseconds where that is not 0. */
-        void refused(long wait);
+        void onRefused(long wait);
 
-        void failed();
+        void onFailed();
     }
 
     private static final class Call {
@@ -162,9 +162,9 @@
 
     private void logState() {
         long now = now();
-        System.err.println("state: " + held() + " requests open, " + upstreamClient.open()
-                + " connections to upstreams, stalls up to " + stalls.recent(now) / 1_000_000 + " ms; guard: "
-                + guard + "; " + rules.describeState(now));
+        System.err.println("state: " + pendingRequestCount() + " requests open, "
+                + upstreamClient.connectionCount() + " connections to upstreams, stalls up to "
+                + stalls.recent(now) / 1_000_000 + " ms; guard: " + guard + "; " + rules.describeState(now));
     }
 
     LifecycleGuard guard() {
@@ -172,7 +172,7 @@
     }
 
     /** Discovery is at another address from now on. */
-    void discoveryMoved(InetSocketAddress address) {
+    void setDiscoveryAddress(InetSocketAddress address) {
         discoveryClient.move(address);
     }
 
@@ -236,22 +236,22 @@
                 if (target.state() == UpstreamState.GONE) {
                     missing.add(id);
                 } else {
-                    upstreamClient.listed(id, target.endpoint(), target.startedMs(),
+                    upstreamClient.updateUpstream(id, target.endpoint(), target.startedMs(),
                             target.state() == UpstreamState.READY);
                 }
             }
-            missing.forEach(upstreamClient::gone);
+            missing.forEach(upstreamClient::removeUpstream);
             rules.listUpdated(now, kind, entries);
             upstreamNames.keySet().removeAll(missing);
             startTimeConverter.forget(missing);
         });
     }
 
-    /** Takes a request; returns the number under which {@link #hangup} knows it. */
+    /** Takes a request; returns the number under which {@link #clientDisconnected} knows it. */
     long submit(ClientRequest clientRequest, ClientCallback client) {
         if (calls.size() >= mostOpen) {
-            turnedAway(clientRequest.headers());
-            client.refused(0);
+            refusedForCapacity(clientRequest.headers());
+            client.onRefused(0);
             return 0;
         }
         long whole = Math.max(1, clientRequest.waitMs() * 1_000_000 - ANSWER_ROOM);
@@ -260,7 +260,7 @@
             failedRequestLog.add(now(), () -> FailedRequestLog.line(clientRequest.id(),
                     clientRequest.kindName(), "refused", "WAITED_TOO_LONG", clientRequest.waited(),
                     List.of()));
-            client.refused(0);
+            client.onRefused(0);
             return 0;
         }
         long id = ++lastId;
@@ -272,7 +272,7 @@
         long reserve = Math.min(2 * stalls.recent(call.takenAt), left / MOST_KEPT);
         loop.execute(() -> stalls.lasted(now(), now() - call.takenAt));
         // The module answers by its own deadline; this holds for whatever it may have missed.
-        loop.schedule(() -> giveUp(id, call, "OVERDUE"), left - reserve + ANSWER_ROOM / 2,
+        loop.schedule(() -> abort(id, call, "OVERDUE"), left - reserve + ANSWER_ROOM / 2,
                 TimeUnit.NANOSECONDS);
         tell(now -> {
             call.deadline = now + left - reserve;
@@ -286,7 +286,7 @@
     }
 
     /** The client has gone away. */
-    void hangup(long id) {
+    void clientDisconnected(long id) {
         Call call = calls.get(id);
         if (call != null && !call.over) {
             endBadly(id, call, "left by its client", "GONE", () -> { });
@@ -295,23 +295,23 @@
     }
 
     /** Ends a request now: refused if nothing of it can have run, else failed. */
-    void giveUp(long id) {
+    void abort(long id) {
         Call call = calls.get(id);
         if (call != null) {
-            giveUp(id, call, "GIVEN_UP");
+            abort(id, call, "GIVEN_UP");
         }
     }
 
-    private void giveUp(long id, Call call, String reason) {
+    private void abort(long id, Call call, String reason) {
         if (call.over) {
             return;
         }
         boolean harmless = !call.mayHaveRun && call.attempts.stream()
                 .allMatch(RequestDispatcher::neverWritten);
         if (harmless) {
-            endBadly(id, call, "refused", reason, () -> call.client.refused(0));
+            endBadly(id, call, "refused", reason, () -> call.client.onRefused(0));
         } else {
-            endBadly(id, call, "failed", reason, call.client::failed);
+            endBadly(id, call, "failed", reason, call.client::onFailed);
         }
         tell(now -> rules.clientDisconnected(now, id));
     }
@@ -321,17 +321,17 @@
     }
 
     /** How many requests are held, those included that have ended while an attempt is still out. */
-    int held() {
+    int pendingRequestCount() {
         return calls.size();
     }
 
     /** Whether any request still waits for its answer. */
-    boolean idle() {
+    boolean allRequestsFinished() {
         return calls.values().stream().allMatch(call -> call.over);
     }
 
     /** The frontend or the dispatcher has no room for a request and has refused it unread. */
-    void turnedAway(HttpHeaders headers) {
+    void refusedForCapacity(HttpHeaders headers) {
         failedRequestLog.add(now(), () -> FailedRequestLog.line(headers.get("Req-Id"),
                 headers.get("Req-Kind"), "refused", "NO_ROOM", 0, List.of()));
     }
@@ -376,7 +376,7 @@
         int number = call.attempts.size();
         call.out++;
         call.tries.add(new FailedRequestLog.AttemptLogEntry(upstreamNames.get(upstream), now));
-        boolean allowed = guard.maySend(!call.over && call.client.present(), now < call.deadline)
+        boolean allowed = guard.maySend(!call.over && call.client.isConnected(), now < call.deadline)
                 && (number == 0 || guard.mayRepeat(number < tryLimit, call.mayRepeat()));
         if (!allowed) {
             call.attempts.add(null);
@@ -417,7 +417,7 @@
             call.tries.get(number).ended(outcome, now);
             call.mayHaveRun |= !outcome.provesNeverRan();
             if (outcome == Outcome.OK && !call.over) {
-                finish(id, call, () -> call.client.served(answer));
+                finish(id, call, () -> call.client.onServed(answer));
             }
             rules.attemptEnded(now, id, number, upstream, outcome, now - sentAt, call.over, load);
             forget(id, call);
@@ -428,7 +428,7 @@
     public void refuse(long request, long retryAfter, FailureReason reason) {
         Call call = calls.get(request);
         if (call != null) {
-            endBadly(request, call, "refused", reason.name(), () -> call.client.refused(retryAfter));
+            endBadly(request, call, "refused", reason.name(), () -> call.client.onRefused(retryAfter));
         }
     }
 
@@ -436,7 +436,7 @@
     public void fail(long request, FailureReason reason) {
         Call call = calls.get(request);
         if (call != null) {
-            endBadly(request, call, "failed", reason.name(), call.client::failed);
+            endBadly(request, call, "failed", reason.name(), call.client::onFailed);
         }
     }
 
--- a/src/main/java/pondridge/sidecar/UpstreamClient.java
+++ b/src/main/java/pondridge/sidecar/UpstreamClient.java
@@ -41,7 +41,7 @@
     private static final int LARGEST_ANSWER = 1 << 16;
     private static final long PROBE_TIMEOUT = 250_000_000;
     /** A second answer to one request may follow the first by some milliseconds; it is nobody's. */
-    static final long SURPLUS_REST_MS = 20;
+    static final long MIN_IDLE_BEFORE_REUSE_MS = 20;
     /** An attempt withdrawn so shortly before its time is over has waited for all of it. */
     private static final long EXPIRY_NS = 2_000_000;
     private static final String LOAD_PATH = "/metrics/load";
@@ -70,7 +70,7 @@
     private int connections;
 
     UpstreamClient(EventLoop loop, SettingsReader settingsReader, int mostConnections) {
-        this(loop, settingsReader, mostConnections, SURPLUS_REST_MS * 1_000_000);
+        this(loop, settingsReader, mostConnections, MIN_IDLE_BEFORE_REUSE_MS * 1_000_000);
     }
 
     /** Connections that answer truthfully need no rest between two requests. */
@@ -93,9 +93,9 @@
      * a process that has started anew since: a machine that vanished has not ended them, and what is written
      * to them would count as perhaps run.
      */
-    void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
+    void updateUpstream(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
         if (!ready) {
-            gone(upstream);
+            removeUpstream(upstream);
             return;
         }
         Pool pool = pools.computeIfAbsent(upstream, id -> new Pool());
@@ -108,7 +108,7 @@
     }
 
     /** Takes over that an upstream drains or has left the list: only attempts still out know its pool. */
-    void gone(long upstream) {
+    void removeUpstream(long upstream) {
         Pool pool = pools.remove(upstream);
         if (pool == null) {
             return;
@@ -166,7 +166,7 @@
     }
 
     /** How many connections are open or being opened. */
-    int open() {
+    int connectionCount() {
         return connections;
     }
 
@@ -307,7 +307,7 @@
         }
 
         @Override
-        public void connected(Channel made) {
+        public void onConnected(Channel made) {
             channel = made;
             channel.closeFuture().addListener(ended -> leavePlace());
             channel.pipeline().addLast(new HttpRequestEncoder(), new ResponseDecoder(),
@@ -316,7 +316,7 @@
         }
 
         @Override
-        public void failed(Throwable cause) {
+        public void onFailed(Throwable cause) {
             closed = true;
             leavePlace();
             current.broken();
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -53,7 +53,7 @@
         loop.schedule(warmUp::end, LONGEST, TimeUnit.NANOSECONDS);
         warmUp.attempt(() -> {
             decide(settingsReader.settings());
-            self.listed(0, frontend, 0, true);
+            self.updateUpstream(0, frontend, 0, true);
             warmUp.ask(ROUNDS);
         });
     }
--- a/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
+++ b/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
@@ -15,22 +15,22 @@
         private final AtomicInteger answers = new AtomicInteger();
 
         @Override
-        public boolean present() {
+        public boolean isConnected() {
             return false;
         }
 
         @Override
-        public void served(RequestDispatcher.UpstreamResponse answer) {
+        public void onServed(RequestDispatcher.UpstreamResponse answer) {
             answers.incrementAndGet();
         }
 
         @Override
-        public void refused(long wait) {
+        public void onRefused(long wait) {
             answers.incrementAndGet();
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             answers.incrementAndGet();
         }
     }
@@ -46,10 +46,12 @@
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
             harness.loop.submit(() -> harness.dispatcher.submit(clientRequest, client)).sync();
             long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-            while (harness.loop.submit(harness.dispatcher::held).get() > 0 && System.nanoTime() < giveUpAt) {
+            while (harness.loop.submit(harness.dispatcher::pendingRequestCount).get() > 0
+                    && System.nanoTime() < giveUpAt) {
                 Thread.sleep(10);
             }
-            assertEquals(0, harness.loop.submit(harness.dispatcher::held).get(), "requests still held");
+            assertEquals(0, harness.loop.submit(harness.dispatcher::pendingRequestCount).get(),
+                    "requests still held");
             assertEquals(1, client.answers.get(), "one answer");
             assertEquals(0, upstream.heads.size(), "nothing is sent for a client that has left");
         }
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -258,7 +258,7 @@
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, harness.ask(SidecarHarness.look("a" + i)).status());
-                Thread.sleep(UpstreamClient.SURPLUS_REST_MS);
+                Thread.sleep(UpstreamClient.MIN_IDLE_BEFORE_REUSE_MS);
             }
             assertEquals(1, connections.getCount(), "one connection for all five");
         }
--- a/src/test/java/pondridge/sidecar/UpstreamClientTest.java
+++ b/src/test/java/pondridge/sidecar/UpstreamClientTest.java
@@ -50,7 +50,7 @@
                 + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
             UpstreamClient made = new UpstreamClient(loop, settingsReader, most);
-            made.listed(1, address, 0, true);
+            made.updateUpstream(1, address, 0, true);
             return made;
         }).get();
     }
@@ -89,13 +89,13 @@
                 FakeUpstream third = FakeUpstream.serving("3")) {
             UpstreamClient upstreamClient = upstreams(first.address(), LONG, 2);
             loop.execute(() -> {
-                upstreamClient.listed(2, second.address(), 0, true);
-                upstreamClient.listed(3, third.address(), 0, true);
+                upstreamClient.updateUpstream(2, second.address(), 0, true);
+                upstreamClient.updateUpstream(3, third.address(), 0, true);
             });
             for (long id : new long[] {1, 2, 3, 2, 1}) {
                 loop.execute(() -> upstreamClient.send(id, get("/api/x"), LONG, this::ended));
                 assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "upstream " + id);
-                Thread.sleep(UpstreamClient.SURPLUS_REST_MS);
+                Thread.sleep(UpstreamClient.MIN_IDLE_BEFORE_REUSE_MS);
             }
             FakeUpstream.next(first.ended);
             FakeUpstream.next(third.ended);
@@ -111,7 +111,7 @@
             InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
             UpstreamClient upstreamClient = upstreams(address, LONG, 10);
             send(upstreamClient);
-            loop.execute(() -> upstreamClient.listed(1, address, 0, false));
+            loop.execute(() -> upstreamClient.updateUpstream(1, address, 0, false));
             assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes));
             send(upstreamClient);
             assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes), "nor does a later one");
@@ -141,7 +141,8 @@
             UpstreamClient upstreamClient = upstreams(upstream.address(), LONG, 10);
             send(upstreamClient);
             assertEquals(Outcome.OK, FakeUpstream.next(outcomes));
-            loop.execute(() -> upstreamClient.listed(1, upstream.address(), 1_700_000_000_000L, true));
+            loop.execute(() ->
+                    upstreamClient.updateUpstream(1, upstream.address(), 1_700_000_000_000L, true));
             FakeUpstream.next(upstream.ended);
             send(upstreamClient);
             assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "on a new one");
