--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -32,127 +32,152 @@
 import pondridge.Rules;
 
 /**
- * The only caller of the module: tells it events one after the other, on the event loop, and carries out what
- * it orders. Whatever module and upstreams do, a request gets one final answer and a send one outcome.
+ * Connects the balancer with the network: delivers events to it one at a time and carries out its actions.
+ * The frontend submits requests here; attempts go out through {@link UpstreamClient}.
+ *
+ * <p>All methods run on the event loop. Whatever the balancer and the upstreams do, each request gets one
+ * final response, and each send is reported to the balancer with one outcome.
  */
 final class RequestDispatcher implements Balancer.Actions {
-    /** What of a client's wait is kept for the answer's way back, beside what the loop's stalls may take. */
-    private static final long ANSWER_ROOM = 10_000_000;
-    /** No more than this part of a client's wait is kept back for stalls. */
-    private static final int MOST_KEPT = 8;
-    private static final long STATE_S = 5;
-    private static final long CLOCK_READING_MS = 500;
-    private static final long DAYS_BEFORE_START = 10_000;
+    /** Time kept for the response's way back to the client, in addition to the reserve for stalls. */
+    private static final long RESPONSE_MARGIN_NANOS = 10_000_000;
+    /** The reserve for stalls is at most the client's remaining time divided by this. */
+    private static final int STALL_RESERVE_DIVISOR = 8;
+    private static final long STATE_LOG_INTERVAL_S = 5;
+    private static final long CLOCK_READING_INTERVAL_MS = 500;
+    private static final long CLOCK_START_DAYS = 10_000;
 
     /**
-     * A request as the frontend took it.
+     * A client's request as parsed by {@link RequestParser}.
      *
-     * @param waited nanoseconds that it has waited for its turn since it was read
-     * @param waitMs how long the client waits in all, in milliseconds
+     * @param waitedNanos how long the request may have waited in this sidecar before it is submitted:
+     *     unaccepted, unread, or behind earlier requests on its connection
+     * @param timeoutMs how long the client waits for the response, counted from its send
      */
-    record ClientRequest(int requestClass, int tenant, long key, long waited, long waitMs, long costHint,
-            boolean clientRetry, HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
+    record ClientRequest(int classIndex, int tenant, long key, long waitedNanos, long timeoutMs,
+            long costHint, boolean clientRetry, HttpMethod method, String uri, HttpHeaders headers,
+            byte[] body) {
         String id() {
             return headers.get("Req-Id");
         }
 
-        String kindName() {
+        String className() {
             return headers.get("Req-Kind");
         }
     }
 
-    /** What an upstream answered. */
+    /** An upstream's response with status 200. */
     record UpstreamResponse(HttpHeaders headers, byte[] body) { }
 
-    /** Takes a request's one final answer. */
+    /**
+     * The client of one or more requests. For each request at most one of the {@code on} methods is called,
+     * with the final response, and none after {@link #clientDisconnected}. All are called on the event loop.
+     */
     interface ClientCallback {
         /** Whether the client is still connected. */
         boolean isConnected();
 
-        void onServed(UpstreamResponse answer);
+        /** An upstream has processed the request. */
+        void onServed(UpstreamResponse response);
 
-        /** Refused: trying again is harmless, best after {@code wait} nanoseconds where that is not 0. */
-        void onRefused(long wait);
+        /**
+         * The request was not processed, so a retry is safe.
+         *
+         * @param retryAfter nanoseconds after which the client should retry; 0 for no advice
+         */
+        void onRefused(long retryAfter);
 
+        /** The request failed and may have been processed. */
         void onFailed();
     }
 
-    private static final class Call {
+    /** A submitted request, kept until it is finished and none of its attempts is in flight. */
+    private static final class PendingRequest {
         private final ClientRequest clientRequest;
         private final ClientCallback client;
-        private final RequestClass kind;
+        private final RequestClass requestClass;
+        /** On the clock of {@link #now}. */
         private long deadline;
+        /** By attempt index; null where the guard blocked the send or while the send is under way. */
         private final List<UpstreamClient.Attempt> attempts = new ArrayList<>(1);
-        private final List<FailedRequestLog.AttemptLogEntry> tries = new ArrayList<>(1);
-        private long takenAt;
-        private int out;
-        private boolean over;
-        /** Whether an attempt was written whole and did not prove that it had not run. */
+        private final List<FailedRequestLog.AttemptLogEntry> attemptLog = new ArrayList<>(1);
+        private long submittedAt;
+        private int attemptsInFlight;
+        /** Whether the final response has been given or the client has disconnected. */
+        private boolean finished;
+        /** Whether an attempt ended with an outcome that does not rule out that the upstream ran it. */
         private boolean mayHaveRun;
 
-        Call(ClientRequest clientRequest, ClientCallback client, RequestClass kind) {
+        PendingRequest(ClientRequest clientRequest, ClientCallback client, RequestClass requestClass) {
             this.clientRequest = clientRequest;
             this.client = client;
-            this.kind = kind;
+            this.requestClass = requestClass;
         }
 
-        boolean mayRepeat() {
-            return kind.semantics() != Semantics.ONCE || !mayHaveRun;
+        /** Whether a further attempt is safe: the class permits repeats, or no attempt can have run. */
+        boolean isSafeToRetry() {
+            return requestClass.semantics() != Semantics.ONCE || !mayHaveRun;
         }
     }
 
     private final EventLoop loop;
-    private final Balancer rules;
-    private final StallEstimator stalls = new StallEstimator();
+    private final Balancer balancer;
+    private final StallEstimator stallEstimator = new StallEstimator();
     private final LifecycleGuard guard;
     private final List<RequestClass> classes;
-    private final int tryLimit;
-    private final int mostOpen;
-    private final boolean automatic;
+    private final int maxAttempts;
+    private final int maxPendingRequests;
+    private final boolean automaticDiscovery;
     private final UpstreamClient upstreamClient;
     private final DiscoveryClient discoveryClient;
     private final PeerMessenger peerMessenger;
     private final FailedRequestLog failedRequestLog = new FailedRequestLog(System.err);
-    private final Map<Long, Call> calls = new HashMap<>();
-    /** Of what the list names, by the id that the module knows it by. */
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    /** Names (uids) of the listed upstreams, by the id under which the balancer knows them. */
     private final Map<Long, String> upstreamNames = new HashMap<>();
-    private final Map<String, Integer> zones = new HashMap<>();
-    private final Map<String, Integer> kinds = new HashMap<>();
+    private final Map<String, Integer> zoneIndices = new HashMap<>();
+    private final Map<String, Integer> modelIndices = new HashMap<>();
     private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
     private final StartTimeConverter startTimeConverter = new StartTimeConverter();
-    /** The sidecar's clock begins far from 0, so that starts before its own have a time on it, too. */
-    private final long clockOffset = TimeUnit.DAYS.toNanos(DAYS_BEFORE_START) - System.nanoTime();
-    private boolean telling;
-    private long lastId;
+    /**
+     * Makes the sidecar's clock start far above 0, so that upstreams that started before the sidecar have a
+     * positive start time. The balancer takes a start time of 0 for "long ago".
+     */
+    private final long clockOffset = TimeUnit.DAYS.toNanos(CLOCK_START_DAYS) - System.nanoTime();
+    /** Whether {@link #deliver} is running. */
+    private boolean deliveringEvents;
+    private long lastRequestId;
 
-    RequestDispatcher(EventLoop loop, Config config, int mostOpen) {
+    RequestDispatcher(EventLoop loop, Config config, int maxPendingRequests) {
         Balancer.Settings settings = config.settingsReader().settings();
         this.loop = loop;
         this.guard = new LifecycleGuard(loop);
         this.classes = settings.classes();
-        this.rules = new Rules(settings, config.seed(), this);
-        this.tryLimit = settings.capabilities().maxAttempts();
-        this.mostOpen = mostOpen;
-        this.automatic = settings.discovery() == Balancer.DiscoveryMode.AUTOMATIC;
+        this.balancer = new Rules(settings, config.seed(), this);
+        this.maxAttempts = settings.capabilities().maxAttempts();
+        this.maxPendingRequests = maxPendingRequests;
+        this.automaticDiscovery = settings.discovery() == Balancer.DiscoveryMode.AUTOMATIC;
         this.upstreamClient = new UpstreamClient(loop, config.settingsReader(), config.sockets() / 2);
-        this.discoveryClient = new DiscoveryClient(loop, config.discovery(), config.known(), this::listed);
+        this.discoveryClient = new DiscoveryClient(loop, config.discovery(), config.known(),
+                this::onListUpdate);
         this.peerMessenger = new PeerMessenger(config.peers(), (from, message) ->
-                tell(now -> rules.peerMessageReceived(now, from, message)));
-        config.settingsReader().list("zones").forEach(zone -> number(zones, zone));
-        config.settingsReader().list("kinds").forEach(kind -> number(kinds, kind));
+                deliver(now -> balancer.peerMessageReceived(now, from, message)));
+        config.settingsReader().list("zones").forEach(zone -> indexOf(zoneIndices, zone));
+        config.settingsReader().list("kinds").forEach(model -> indexOf(modelIndices, model));
     }
 
-    /** Begins with the cached list; on the loop, like all that follows. */
-    void start(DiscoveryClient.UpstreamList known) {
+    /** Starts the balancer with the cached list of upstreams, then discovery and peer messages. */
+    void start(DiscoveryClient.UpstreamList cachedList) {
         readClocks();
-        tell(rules::start);
-        listed(ListUpdateType.CACHED, known.targets());
-        if (automatic) {
+        deliver(balancer::start);
+        onListUpdate(ListUpdateType.CACHED, cachedList.targets());
+        if (automaticDiscovery) {
             discoveryClient.follow();
         }
         peerMessenger.listen(loop);
-        loop.scheduleWithFixedDelay(this::logState, STATE_S, STATE_S, TimeUnit.SECONDS);
-        loop.scheduleWithFixedDelay(this::readClocks, CLOCK_READING_MS, CLOCK_READING_MS,
+        loop.scheduleWithFixedDelay(this::logState, STATE_LOG_INTERVAL_S, STATE_LOG_INTERVAL_S,
+                TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(this::readClocks, CLOCK_READING_INTERVAL_MS, CLOCK_READING_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -164,237 +189,264 @@
         long now = now();
         System.err.println("state: " + pendingRequestCount() + " requests open, "
                 + upstreamClient.connectionCount() + " connections to upstreams, stalls up to "
-                + stalls.recent(now) / 1_000_000 + " ms; guard: " + guard + "; " + rules.describeState(now));
+                + stallEstimator.recent(now) / 1_000_000 + " ms; guard: " + guard + "; "
+                + balancer.describeState(now));
     }
 
     LifecycleGuard guard() {
         return guard;
     }
 
-    /** Discovery is at another address from now on. */
+    /** Moves discovery to another address, after a reload of the configuration. */
     void setDiscoveryAddress(InetSocketAddress address) {
         discoveryClient.move(address);
     }
 
     /**
-     * Nanoseconds on a clock that never steps and that {@link StartTimeConverter} brings the list's times to.
+     * Nanoseconds on a monotonic clock, the one that the balancer uses. {@link StartTimeConverter} converts
+     * the list's wall-clock times to it.
      */
     private long now() {
         return System.nanoTime() + clockOffset;
     }
 
-    /** Tells the module one event; what happens meanwhile waits, since the module is never entered twice. */
-    private void tell(LongConsumer event) {
+    /**
+     * Delivers an event to the balancer. An event that arises during another one's delivery is queued until
+     * that returns, since the balancer is not reentrant.
+     */
+    private void deliver(LongConsumer event) {
         if (!guard.checkLoop("event")) {
-            loop.execute(() -> tell(event));
+            loop.execute(() -> deliver(event));
             return;
         }
         events.add(event);
-        if (telling) {
+        if (deliveringEvents) {
             return;
         }
-        telling = true;
+        deliveringEvents = true;
         try {
             for (LongConsumer next = events.poll(); next != null; next = events.poll()) {
                 try {
                     next.accept(now());
                 } catch (RuntimeException e) {
-                    guard.report("engine", e);
+                    guard.report("dispatcher", e);
                 }
             }
         } finally {
-            telling = false;
+            deliveringEvents = false;
         }
     }
 
-    private static int number(Map<String, Integer> numbers, String name) {
-        return numbers.computeIfAbsent(name, added -> numbers.size());
+    /** The index of a name; a name not seen before gets the next free one. */
+    private static int indexOf(Map<String, Integer> indices, String name) {
+        return indices.computeIfAbsent(name, added -> indices.size());
     }
 
-    /** The same at every sidecar, so that they can speak of upstreams to each other: FNV-1a of the name. */
-    private static long id(String uid) {
+    /**
+     * The id of an upstream: the FNV-1a hash of its uid, so that all sidecars use the same ids in their peer
+     * messages.
+     */
+    private static long upstreamId(String uid) {
         long hash = 0xcbf29ce484222325L;
-        for (byte each : uid.getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ each & 0xff) * 0x100000001b3L;
+        for (byte b : uid.getBytes(StandardCharsets.UTF_8)) {
+            hash = (hash ^ b & 0xff) * 0x100000001b3L;
         }
         return hash;
     }
 
-    private void listed(ListUpdateType kind, List<DiscoveryClient.ListEntry> targets) {
+    /** Passes a list update to the upstream client and the balancer. */
+    private void onListUpdate(ListUpdateType updateType, List<DiscoveryClient.ListEntry> entries) {
         readClocks();
-        tell(now -> {
-            List<Upstream> entries = new ArrayList<>(targets.size());
-            Set<Long> missing = new LinkedHashSet<>(
-                    kind == ListUpdateType.FULL ? upstreamNames.keySet() : Set.<Long>of());
-            for (DiscoveryClient.ListEntry target : targets) {
-                long id = id(target.uid());
-                missing.remove(id);
-                upstreamNames.put(id, target.uid());
-                entries.add(new Upstream(id, number(zones, target.zone()), number(kinds, target.kind()),
-                        target.cell(), target.state(), target.weight(),
-                        startTimeConverter.startedAt(id, target.startedMs(), now)));
-                if (target.state() == UpstreamState.GONE) {
-                    missing.add(id);
+        deliver(now -> {
+            List<Upstream> upstreams = new ArrayList<>(entries.size());
+            Set<Long> removed = new LinkedHashSet<>(
+                    updateType == ListUpdateType.FULL ? upstreamNames.keySet() : Set.<Long>of());
+            for (DiscoveryClient.ListEntry entry : entries) {
+                long id = upstreamId(entry.uid());
+                removed.remove(id);
+                upstreamNames.put(id, entry.uid());
+                upstreams.add(new Upstream(id, indexOf(zoneIndices, entry.zone()),
+                        indexOf(modelIndices, entry.kind()), entry.cell(), entry.state(), entry.weight(),
+                        startTimeConverter.startedAt(id, entry.startedMs(), now)));
+                if (entry.state() == UpstreamState.GONE) {
+                    removed.add(id);
                 } else {
-                    upstreamClient.updateUpstream(id, target.endpoint(), target.startedMs(),
-                            target.state() == UpstreamState.READY);
+                    upstreamClient.updateUpstream(id, entry.endpoint(), entry.startedMs(),
+                            entry.state() == UpstreamState.READY);
                 }
             }
-            missing.forEach(upstreamClient::removeUpstream);
-            rules.listUpdated(now, kind, entries);
-            upstreamNames.keySet().removeAll(missing);
-            startTimeConverter.forget(missing);
+            removed.forEach(upstreamClient::removeUpstream);
+            balancer.listUpdated(now, updateType, upstreams);
+            upstreamNames.keySet().removeAll(removed);
+            startTimeConverter.forget(removed);
         });
     }
 
-    /** Takes a request; returns the number under which {@link #clientDisconnected} knows it. */
+    /**
+     * Submits a request. The client may get its final response before this method returns.
+     *
+     * @return the request's id for {@link #clientDisconnected} and {@link #abort}; 0 if it has been refused
+     */
     long submit(ClientRequest clientRequest, ClientCallback client) {
-        if (calls.size() >= mostOpen) {
+        if (pendingRequests.size() >= maxPendingRequests) {
             refusedForCapacity(clientRequest.headers());
             client.onRefused(0);
             return 0;
         }
-        long whole = Math.max(1, clientRequest.waitMs() * 1_000_000 - ANSWER_ROOM);
-        long left = whole - clientRequest.waited();
-        if (left <= 0) {
+        long clientTimeout = Math.max(1, clientRequest.timeoutMs() * 1_000_000 - RESPONSE_MARGIN_NANOS);
+        long timeLeft = clientTimeout - clientRequest.waitedNanos();
+        if (timeLeft <= 0) {
             failedRequestLog.add(now(), () -> FailedRequestLog.line(clientRequest.id(),
-                    clientRequest.kindName(), "refused", "WAITED_TOO_LONG", clientRequest.waited(),
+                    clientRequest.className(), "refused", "WAITED_TOO_LONG", clientRequest.waitedNanos(),
                     List.of()));
             client.onRefused(0);
             return 0;
         }
-        long id = ++lastId;
-        Call call = new Call(clientRequest, client, classes.get(clientRequest.requestClass()));
-        call.takenAt = now();
-        calls.put(id, call);
-        // The client's time has run since it sent: a stall may have kept the request unread, and another
-        // may hold up the answer.
-        long reserve = Math.min(2 * stalls.recent(call.takenAt), left / MOST_KEPT);
-        loop.execute(() -> stalls.lasted(now(), now() - call.takenAt));
-        // The module answers by its own deadline; this holds for whatever it may have missed.
-        loop.schedule(() -> abort(id, call, "OVERDUE"), left - reserve + ANSWER_ROOM / 2,
+        long id = ++lastRequestId;
+        PendingRequest pending = new PendingRequest(clientRequest, client,
+                classes.get(clientRequest.classIndex()));
+        pending.submittedAt = now();
+        pendingRequests.put(id, pending);
+        // Room for two stalls, since the client's timeout runs from its send: one may have left the request
+        // unread, another may delay the response.
+        long reserve = Math.min(2 * stallEstimator.recent(pending.submittedAt),
+                timeLeft / STALL_RESERVE_DIVISOR);
+        loop.execute(() -> stallEstimator.lasted(now(), now() - pending.submittedAt));
+        // The balancer responds by the deadline; this timer finishes a request that it has missed.
+        loop.schedule(() -> abort(id, pending, "OVERDUE"), timeLeft - reserve + RESPONSE_MARGIN_NANOS / 2,
                 TimeUnit.NANOSECONDS);
-        tell(now -> {
-            call.deadline = now + left - reserve;
-            // The whole time tells a client's first try from a later one, so the waiting is not taken off it.
-            rules.requestArrived(now, new Request(id, clientRequest.requestClass(), clientRequest.tenant(),
-                    clientRequest.key(), whole, reserve + clientRequest.waited(),
+        deliver(now -> {
+            pending.deadline = now + timeLeft - reserve;
+            // The balancer takes a timeout other than the usual one for that of a client retry. The time
+            // already waited is therefore added to the reserve, not subtracted from the timeout.
+            balancer.requestArrived(now, new Request(id, clientRequest.classIndex(), clientRequest.tenant(),
+                    clientRequest.key(), clientTimeout, reserve + clientRequest.waitedNanos(),
                     clientRequest.costHint(), clientRequest.clientRetry(),
                     !clientRequest.method().equals(HttpMethod.GET)));
         });
         return id;
     }
 
-    /** The client has gone away. */
+    /** The client has disconnected: finishes its request without a response. */
     void clientDisconnected(long id) {
-        Call call = calls.get(id);
-        if (call != null && !call.over) {
-            endBadly(id, call, "left by its client", "GONE", () -> { });
-            tell(now -> rules.clientDisconnected(now, id));
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null && !pending.finished) {
+            finishAndLog(id, pending, "left by its client", "GONE", () -> { });
+            deliver(now -> balancer.clientDisconnected(now, id));
         }
     }
 
-    /** Ends a request now: refused if nothing of it can have run, else failed. */
+    /** Finishes a request at once: refuses it if no upstream can have processed it, otherwise fails it. */
     void abort(long id) {
-        Call call = calls.get(id);
-        if (call != null) {
-            abort(id, call, "GIVEN_UP");
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null) {
+            abort(id, pending, "GIVEN_UP");
         }
     }
 
-    private void abort(long id, Call call, String reason) {
-        if (call.over) {
+    private void abort(long id, PendingRequest pending, String reason) {
+        if (pending.finished) {
             return;
         }
-        boolean harmless = !call.mayHaveRun && call.attempts.stream()
+        boolean notProcessed = !pending.mayHaveRun && pending.attempts.stream()
                 .allMatch(RequestDispatcher::neverWritten);
-        if (harmless) {
-            endBadly(id, call, "refused", reason, () -> call.client.onRefused(0));
+        if (notProcessed) {
+            finishAndLog(id, pending, "refused", reason, () -> pending.client.onRefused(0));
         } else {
-            endBadly(id, call, "failed", reason, call.client::onFailed);
+            finishAndLog(id, pending, "failed", reason, pending.client::onFailed);
         }
-        tell(now -> rules.clientDisconnected(now, id));
+        // Makes the balancer drop the request.
+        deliver(now -> balancer.clientDisconnected(now, id));
     }
 
     private static boolean neverWritten(UpstreamClient.Attempt attempt) {
         return attempt == null || !attempt.written();
     }
 
-    /** How many requests are held, those included that have ended while an attempt is still out. */
+    /** The number of requests kept, including finished ones with an attempt still in flight. */
     int pendingRequestCount() {
-        return calls.size();
+        return pendingRequests.size();
     }
 
-    /** Whether any request still waits for its answer. */
+    /** Whether no request waits for its final response. */
     boolean allRequestsFinished() {
-        return calls.values().stream().allMatch(call -> call.over);
+        return pendingRequests.values().stream().allMatch(pending -> pending.finished);
     }
 
-    /** The frontend or the dispatcher has no room for a request and has refused it unread. */
+    /** Logs a request that the frontend or the dispatcher refused for lack of capacity. */
     void refusedForCapacity(HttpHeaders headers) {
         failedRequestLog.add(now(), () -> FailedRequestLog.line(headers.get("Req-Id"),
                 headers.get("Req-Kind"), "refused", "NO_ROOM", 0, List.of()));
     }
 
-    private void endBadly(long id, Call call, String end, String reason, Runnable answer) {
-        if (!call.over) {
+    /** Finishes a request that was not served, and logs it. */
+    private void finishAndLog(long id, PendingRequest pending, String result, String reason,
+            Runnable response) {
+        if (!pending.finished) {
             long now = now();
-            failedRequestLog.add(now, () -> FailedRequestLog.line(call.clientRequest.id(),
-                    call.clientRequest.kindName(), end, reason, now - call.takenAt, call.tries));
+            failedRequestLog.add(now, () -> FailedRequestLog.line(pending.clientRequest.id(),
+                    pending.clientRequest.className(), result, reason, now - pending.submittedAt,
+                    pending.attemptLog));
         }
-        finish(id, call, answer);
+        finish(id, pending, response);
     }
 
-    private void finish(long id, Call call, Runnable answer) {
-        if (!guard.mayAnswer(!call.over)) {
+    /** Gives the final response, unless the request is finished already. */
+    private void finish(long id, PendingRequest pending, Runnable response) {
+        if (!guard.mayAnswer(!pending.finished)) {
             return;
         }
-        call.over = true;
-        long waited = now() - call.takenAt + call.clientRequest.waited();
-        guard.checkAnswerTime(waited - call.clientRequest.waitMs() * 1_000_000, call.clientRequest.id());
-        answer.run();
-        // An attempt that waits for its connection would be written for a request that has ended.
-        new ArrayList<>(call.attempts).stream().filter(Objects::nonNull)
+        pending.finished = true;
+        long elapsed = now() - pending.submittedAt + pending.clientRequest.waitedNanos();
+        guard.checkAnswerTime(elapsed - pending.clientRequest.timeoutMs() * 1_000_000,
+                pending.clientRequest.id());
+        response.run();
+        // Attempts that still wait for a connection must not be sent for a finished request.
+        new ArrayList<>(pending.attempts).stream().filter(Objects::nonNull)
                 .forEach(UpstreamClient.Attempt::withdraw);
-        forget(id, call);
+        removeIfComplete(id, pending);
     }
 
-    private void forget(long id, Call call) {
-        if (call.over && call.out == 0) {
-            calls.remove(id);
+    private void removeIfComplete(long id, PendingRequest pending) {
+        if (pending.finished && pending.attemptsInFlight == 0) {
+            pendingRequests.remove(id);
         }
     }
 
     @Override
     public void send(long request, long upstream, long timeout) {
-        Call call = calls.get(request);
+        PendingRequest pending = pendingRequests.get(request);
         long now = now();
-        if (call == null) {
+        if (pending == null) {
             guard.maySend(false, true);
             return;
         }
-        int number = call.attempts.size();
-        call.out++;
-        call.tries.add(new FailedRequestLog.AttemptLogEntry(upstreamNames.get(upstream), now));
-        boolean allowed = guard.maySend(!call.over && call.client.isConnected(), now < call.deadline)
-                && (number == 0 || guard.mayRepeat(number < tryLimit, call.mayRepeat()));
+        int attemptIndex = pending.attempts.size();
+        pending.attemptsInFlight++;
+        pending.attemptLog.add(new FailedRequestLog.AttemptLogEntry(upstreamNames.get(upstream), now));
+        boolean allowed = guard.maySend(!pending.finished && pending.client.isConnected(),
+                        now < pending.deadline)
+                && (attemptIndex == 0
+                        || guard.mayRepeat(attemptIndex < maxAttempts, pending.isSafeToRetry()));
         if (!allowed) {
-            call.attempts.add(null);
-            ended(request, call, number, upstream, now, Outcome.NEVER_SENT, null, new float[0]);
+            pending.attempts.add(null);
+            onAttemptEnded(request, pending, attemptIndex, upstream, now, Outcome.NEVER_SENT, null,
+                    new float[0]);
             return;
         }
-        long wait = call.deadline - now;
+        long attemptTimeout = pending.deadline - now;
         if (timeout > 0) {
-            wait = Math.min(wait, timeout);
+            attemptTimeout = Math.min(attemptTimeout, timeout);
         }
-        call.attempts.add(null);
-        call.attempts.set(number, upstreamClient.send(upstream,
-                left -> message(call.clientRequest, left), wait,
-                (outcome, answer, load) ->
-                        ended(request, call, number, upstream, now, outcome, answer, load)));
+        pending.attempts.add(null);
+        pending.attempts.set(attemptIndex, upstreamClient.send(upstream,
+                timeLeft -> toUpstreamRequest(pending.clientRequest, timeLeft), attemptTimeout,
+                (outcome, response, loadReport) ->
+                        onAttemptEnded(request, pending, attemptIndex, upstream, now, outcome, response,
+                                loadReport)));
     }
 
-    private static FullHttpRequest message(ClientRequest clientRequest, long timeLeft) {
+    private static FullHttpRequest toUpstreamRequest(ClientRequest clientRequest, long timeLeft) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, clientRequest.method(),
                 clientRequest.uri(), Unpooled.wrappedBuffer(clientRequest.body()));
         HeaderFilter.copyEndToEnd(clientRequest.headers(), request.headers());
@@ -405,60 +457,66 @@
         return request;
     }
 
-    /** Told behind all that the loop reads in this turn: the client's close may be among it. */
-    private void ended(long id, Call call, int number, long upstream, long sentAt, Outcome outcome,
-            UpstreamResponse answer, float[] load) {
-        loop.execute(() -> tell(now -> {
-            if (call.tries.get(number).hasEnded()) {
-                guard.report(LifecycleGuard.Violation.ENDED_TWICE, call.clientRequest.id() + " " + outcome);
+    /**
+     * Handles the end of an attempt after everything else that the loop reads in this iteration, since that
+     * may include the client's disconnect.
+     */
+    private void onAttemptEnded(long id, PendingRequest pending, int attemptIndex, long upstream,
+            long sentAt, Outcome outcome, UpstreamResponse response, float[] loadReport) {
+        loop.execute(() -> deliver(now -> {
+            if (pending.attemptLog.get(attemptIndex).hasEnded()) {
+                guard.report(LifecycleGuard.Violation.ENDED_TWICE,
+                        pending.clientRequest.id() + " " + outcome);
                 return;
             }
-            call.out--;
-            call.tries.get(number).ended(outcome, now);
-            call.mayHaveRun |= !outcome.provesNeverRan();
-            if (outcome == Outcome.OK && !call.over) {
-                finish(id, call, () -> call.client.onServed(answer));
+            pending.attemptsInFlight--;
+            pending.attemptLog.get(attemptIndex).ended(outcome, now);
+            pending.mayHaveRun |= !outcome.provesNeverRan();
+            if (outcome == Outcome.OK && !pending.finished) {
+                finish(id, pending, () -> pending.client.onServed(response));
             }
-            rules.attemptEnded(now, id, number, upstream, outcome, now - sentAt, call.over, load);
-            forget(id, call);
+            balancer.attemptEnded(now, id, attemptIndex, upstream, outcome, now - sentAt, pending.finished,
+                    loadReport);
+            removeIfComplete(id, pending);
         }));
     }
 
     @Override
     public void refuse(long request, long retryAfter, FailureReason reason) {
-        Call call = calls.get(request);
-        if (call != null) {
-            endBadly(request, call, "refused", reason.name(), () -> call.client.onRefused(retryAfter));
+        PendingRequest pending = pendingRequests.get(request);
+        if (pending != null) {
+            finishAndLog(request, pending, "refused", reason.name(),
+                    () -> pending.client.onRefused(retryAfter));
         }
     }
 
     @Override
     public void fail(long request, FailureReason reason) {
-        Call call = calls.get(request);
-        if (call != null) {
-            endBadly(request, call, "failed", reason.name(), call.client::onFailed);
+        PendingRequest pending = pendingRequests.get(request);
+        if (pending != null) {
+            finishAndLog(request, pending, "failed", reason.name(), pending.client::onFailed);
         }
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        Call call = calls.get(request);
-        if (call != null && attempt < call.attempts.size() && call.attempts.get(attempt) != null) {
-            call.attempts.get(attempt).cancel();
+        PendingRequest pending = pendingRequests.get(request);
+        if (pending != null && attempt < pending.attempts.size() && pending.attempts.get(attempt) != null) {
+            pending.attempts.get(attempt).cancel();
         }
     }
 
     @Override
     public void setTimer(long token, long at) {
-        loop.schedule(() -> tell(now -> rules.timerFired(now, token)), Math.max(0, at - now()),
+        loop.schedule(() -> deliver(now -> balancer.timerFired(now, token)), Math.max(0, at - now()),
                 TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void probe(long upstream) {
         long sentAt = now();
-        upstreamClient.probe(upstream, (outcome, answer, load) -> tell(now ->
-                rules.probeResult(now, upstream, outcome, now - sentAt, load)));
+        upstreamClient.probe(upstream, (outcome, response, loadReport) -> deliver(now ->
+                balancer.probeResult(now, upstream, outcome, now - sentAt, loadReport)));
     }
 
     @Override
--- a/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
+++ b/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 class RequestDispatcherTest {
-    /** Counts its answers; its connection is gone. */
-    private static final class GoneClient implements RequestDispatcher.ClientCallback {
-        private final AtomicInteger answers = new AtomicInteger();
+    /** A client that has disconnected; counts the responses it is given. */
+    private static final class DisconnectedClient implements RequestDispatcher.ClientCallback {
+        private final AtomicInteger responses = new AtomicInteger();
 
         @Override
         public boolean isConnected() {
@@ -20,40 +20,43 @@
         }
 
         @Override
-        public void onServed(RequestDispatcher.UpstreamResponse answer) {
-            answers.incrementAndGet();
+        public void onServed(RequestDispatcher.UpstreamResponse response) {
+            responses.incrementAndGet();
         }
 
         @Override
-        public void onRefused(long wait) {
-            answers.incrementAndGet();
+        public void onRefused(long retryAfter) {
+            responses.incrementAndGet();
         }
 
         @Override
         public void onFailed() {
-            answers.incrementAndGet();
+            responses.incrementAndGet();
         }
     }
 
-    /** A request whose attempt was blocked, since its client had left, was kept forever. */
+    /**
+     * The guard blocks an attempt when its client has disconnected. The request must be removed all the same;
+     * it used to be kept forever.
+     */
     @Test
-    void aRequestWithABlockedAttemptWasKeptForever() throws Exception {
+    void requestWithBlockedAttemptIsRemoved() throws Exception {
         HttpHeaders headers = new DefaultHttpHeaders().add("Req-Id", "a").add("Req-Kind", "look");
         RequestDispatcher.ClientRequest clientRequest = new RequestDispatcher.ClientRequest(0, 0, 0, 0,
                 SidecarHarness.LONG_MS, 0, false, HttpMethod.GET, "/api/a", headers, new byte[0]);
-        GoneClient client = new GoneClient();
+        DisconnectedClient client = new DisconnectedClient();
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
             harness.loop.submit(() -> harness.dispatcher.submit(clientRequest, client)).sync();
-            long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+            long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
             while (harness.loop.submit(harness.dispatcher::pendingRequestCount).get() > 0
-                    && System.nanoTime() < giveUpAt) {
+                    && System.nanoTime() < deadline) {
                 Thread.sleep(10);
             }
             assertEquals(0, harness.loop.submit(harness.dispatcher::pendingRequestCount).get(),
-                    "requests still held");
-            assertEquals(1, client.answers.get(), "one answer");
-            assertEquals(0, upstream.heads.size(), "nothing is sent for a client that has left");
+                    "pending requests");
+            assertEquals(1, client.responses.get(), "responses");
+            assertEquals(0, upstream.heads.size(), "requests sent upstream for a disconnected client");
         }
     }
 }
