--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -403,7 +403,7 @@
         response.run();
         // Attempts that still wait for a connection must not be sent for a finished request.
         new ArrayList<>(pending.attempts).stream().filter(Objects::nonNull)
-                .forEach(UpstreamClient.Attempt::withdraw);
+                .forEach(UpstreamClient.Attempt::cancelIfUnwritten);
         removeIfComplete(id, pending);
     }
 
--- a/src/main/java/pondridge/sidecar/UpstreamClient.java
+++ b/src/main/java/pondridge/sidecar/UpstreamClient.java
@@ -33,65 +33,86 @@
 import pondridge.SettingsReader;
 
 /**
- * Connections to upstreams and the attempts on them. An attempt is written once, on one connection, and ends
- * with one outcome; nothing is sent again from here.
+ * Sends attempts and load probes to upstreams over pooled HTTP/1.1 connections. Each attempt is written at
+ * most once, on one connection, and ends with one outcome; this class never retries.
+ *
+ * <p>Used on the event loop only. Failures reach the caller as outcomes, never as exceptions.
  */
 final class UpstreamClient {
-    /** A body's 64 KiB and no more, so that answers can't fill the memory. */
-    private static final int LARGEST_ANSWER = 1 << 16;
-    private static final long PROBE_TIMEOUT = 250_000_000;
-    /** A second answer to one request may follow the first by some milliseconds; it is nobody's. */
+    /** Bodies have at most 64 KiB. A longer response is an error, so that it can't exhaust the memory. */
+    private static final int MAX_RESPONSE_BYTES = 1 << 16;
+    private static final long PROBE_TIMEOUT_NANOS = 250_000_000;
+    /**
+     * A connection is reused only after being idle this long. An upstream may send a second response to a
+     * request some milliseconds after the first, which would be taken for that of the next request.
+     */
     static final long MIN_IDLE_BEFORE_REUSE_MS = 20;
-    /** An attempt withdrawn so shortly before its time is over has waited for all of it. */
-    private static final long EXPIRY_NS = 2_000_000;
+    /** An attempt cancelled this shortly before its expiry counts as expired. */
+    private static final long EXPIRY_TOLERANCE_NANOS = 2_000_000;
     private static final String LOAD_PATH = "/metrics/load";
-    private static final float[] NO_REPORT = {};
+    private static final float[] NO_LOAD_REPORT = {};
 
-    /** Makes an attempt's message when it is written, so that it tells the time that is left then. */
-    interface Message {
-        FullHttpRequest withTimeLeft(long nanos);
+    /** Creates the HTTP request of an attempt when it is written, so that it states the time left then. */
+    interface RequestFactory {
+        FullHttpRequest create(long timeLeftNanos);
     }
 
-    /** How an attempt ended; {@code answer} is there for {@link Outcome#OK} alone. */
+    /** Is notified of the end of an attempt or a load probe. */
     interface Listener {
-        void ended(Outcome outcome, RequestDispatcher.UpstreamResponse answer, float[] load);
+        /**
+         * Called once, possibly before {@link UpstreamClient#send} returns.
+         *
+         * @param response null unless the outcome is {@link Outcome#OK}
+         * @param loadReport empty if the upstream sent none that can be read
+         */
+        void onEnded(Outcome outcome, RequestDispatcher.UpstreamResponse response, float[] loadReport);
     }
 
     private final EventLoop loop;
     private final Dialer dialer;
-    private final long keepIdle;
-    private final int mostConnections;
+    private final long maxIdleNanos;
+    private final int maxConnections;
     private final List<String> reportFields;
     private final Map<Long, Pool> pools = new HashMap<>();
-    /** Of all upstreams, the one idle for longest first. */
-    private final Set<Connection> idle = new LinkedHashSet<>();
-    private final Future<?> retirement;
-    private final long restNs;
-    private int connections;
-
-    UpstreamClient(EventLoop loop, SettingsReader settingsReader, int mostConnections) {
-        this(loop, settingsReader, mostConnections, MIN_IDLE_BEFORE_REUSE_MS * 1_000_000);
+    /** The idle connections to all upstreams, the one idle for longest first. */
+    private final Set<Connection> idleConnections = new LinkedHashSet<>();
+    private final Future<?> idleCheck;
+    private final long minIdleNanos;
+    /** Connections that are open or being opened. */
+    private int connectionCount;
+
+    UpstreamClient(EventLoop loop, SettingsReader settingsReader, int maxConnections) {
+        this(loop, settingsReader, maxConnections, MIN_IDLE_BEFORE_REUSE_MS * 1_000_000);
     }
 
-    /** Connections that answer truthfully need no rest between two requests. */
-    UpstreamClient(EventLoop loop, SettingsReader settingsReader, int mostConnections, long restNs) {
+    /**
+     * Creates a client with a minimum idle time of its own.
+     *
+     * @param minIdleNanos how long a connection has to be idle before it is reused; 0 will do for upstreams
+     *     that send no surplus responses
+     */
+    UpstreamClient(EventLoop loop, SettingsReader settingsReader, int maxConnections, long minIdleNanos) {
         this.loop = loop;
-        this.restNs = restNs;
+        this.minIdleNanos = minIdleNanos;
         int connectTimeoutMs = Math.max(1, (int) (settingsReader.number("caps.connectTimeout", 1e9) / 1e6));
         this.dialer = new Dialer(loop, connectTimeoutMs);
-        // An upstream closes at its idle time; a tenth before it, no request can cross that on its way.
-        this.keepIdle = (long) (settingsReader.number("caps.connIdle", 5e9) * 0.9);
-        this.mostConnections = mostConnections;
+        // A tenth less than the upstream's idle timeout, so that no request is sent on a connection that
+        // the upstream is closing.
+        this.maxIdleNanos = (long) (settingsReader.number("caps.connIdle", 5e9) * 0.9);
+        this.maxConnections = maxConnections;
         this.reportFields = settingsReader.list("report.fields");
-        long sweep = Math.max(1, keepIdle / 20);
-        retirement = loop.scheduleWithFixedDelay(this::retire, sweep, sweep, TimeUnit.NANOSECONDS);
+        long intervalNanos = Math.max(1, maxIdleNanos / 20);
+        idleCheck = loop.scheduleWithFixedDelay(this::closeExpired, intervalNanos, intervalNanos,
+                TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Takes over what the list says of an upstream. Once it is no longer ready, nothing not yet written goes
-     * there: who waits for a connection is told that none came, idle connections are closed. So are those to
-     * a process that has started anew since: a machine that vanished has not ended them, and what is written
-     * to them would count as perhaps run.
+     * Applies a list entry. An upstream that is not ready is removed, see {@link #removeUpstream}.
+     *
+     * <p>Idle connections are closed if the address has changed or the upstream has restarted: a machine that
+     * vanished has not closed them, and a request written to one would count as possibly processed.
+     *
+     * @param startedMs when the upstream's process started, in wall-clock time; 0 if unknown
      */
     void updateUpstream(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
         if (!ready) {
@@ -107,7 +128,10 @@
         }
     }
 
-    /** Takes over that an upstream drains or has left the list: only attempts still out know its pool. */
+    /**
+     * Forgets an upstream that drains or has left the list. Its idle connections are closed, and attempts not
+     * yet written end as {@link Outcome#CONNECT_FAILED}; those already written may still get their responses.
+     */
     void removeUpstream(long upstream) {
         Pool pool = pools.remove(upstream);
         if (pool == null) {
@@ -120,41 +144,47 @@
         }
     }
 
-    /** Sends a request as one attempt; {@code wait} in nanoseconds bounds it. */
-    Attempt send(long upstream, Message message, long wait, Listener listener) {
+    /**
+     * Sends a request to an upstream as one attempt, which ends within {@code timeoutNanos}. It ends as
+     * {@link Outcome#NEVER_SENT} at once if it needs a new connection and the limit on them is reached.
+     */
+    Attempt send(long upstream, RequestFactory requestFactory, long timeoutNanos, Listener listener) {
         Pool pool = pools.getOrDefault(upstream, new Pool());
-        Attempt attempt = new Attempt(pool, message, System.nanoTime() + wait, listener);
-        attempt.timer = loop.schedule(attempt::late, wait, TimeUnit.NANOSECONDS);
+        Attempt attempt = new Attempt(pool, requestFactory, System.nanoTime() + timeoutNanos, listener);
+        attempt.timer = loop.schedule(attempt::expire, timeoutNanos, TimeUnit.NANOSECONDS);
         pool.unwritten.add(attempt);
-        Connection last = pool.takeRested(restNs);
+        Connection reusable = pool.takeReusable(minIdleNanos);
         if (!pool.ready || pool.address == null) {
             attempt.end(Outcome.CONNECT_FAILED);
-        } else if (last != null) {
-            idle.remove(last);
-            last.write(attempt);
-        } else if (connections >= mostConnections && !makeRoom()) {
+        } else if (reusable != null) {
+            idleConnections.remove(reusable);
+            reusable.write(attempt);
+        } else if (connectionCount >= maxConnections && !closeLongestIdle()) {
             attempt.end(Outcome.NEVER_SENT);
         } else {
-            new Connection(pool).open(attempt);
+            new Connection(pool).connect(attempt);
         }
         return attempt;
     }
 
-    /** With more upstreams than connections may be open, the one idle for longest gives way, if any is. */
-    private boolean makeRoom() {
-        if (idle.isEmpty()) {
+    /**
+     * Closes the connection idle for longest, so that upstreams in excess of the allowed connections can all
+     * be reached; false if none is idle.
+     */
+    private boolean closeLongestIdle() {
+        if (idleConnections.isEmpty()) {
             return false;
         }
-        idle.iterator().next().close();
+        idleConnections.iterator().next().close();
         return true;
     }
 
-    /** Probes an upstream: for its load report where the deployment has reports, else for its health. */
+    /** Requests an upstream's load report; checks its health if the settings name no report fields. */
     void probe(long upstream, Listener listener) {
         String path = reportFields.isEmpty() ? "/alive" : LOAD_PATH;
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         request.headers().set(HttpHeaderNames.HOST, "app.svc");
-        send(upstream, left -> request, PROBE_TIMEOUT, listener);
+        send(upstream, timeLeft -> request, PROBE_TIMEOUT_NANOS, listener);
     }
 
     /** Closes the idle connections to an upstream. */
@@ -165,39 +195,43 @@
         }
     }
 
-    /** How many connections are open or being opened. */
+    /** The number of connections that are open or being opened. */
     int connectionCount() {
-        return connections;
+        return connectionCount;
     }
 
-    /** Closes all idle connections and keeps no more watch on them. */
+    /** Closes all idle connections and stops looking for expired ones. */
     void close() {
-        retirement.cancel(false);
+        idleCheck.cancel(false);
         pools.values().forEach(Pool::closeIdle);
     }
 
-    private void retire() {
+    /** Closes connections that have been idle for too long. */
+    private void closeExpired() {
         long now = System.nanoTime();
-        while (!idle.isEmpty() && now - idle.iterator().next().idleSince > keepIdle) {
-            idle.iterator().next().close();
+        while (!idleConnections.isEmpty()
+                && now - idleConnections.iterator().next().idleSince > maxIdleNanos) {
+            idleConnections.iterator().next().close();
         }
     }
 
-    /** One upstream's connections; the least lately used idle one comes first. */
+    /** The connections to one upstream. */
     private static final class Pool {
+        /** Least recently used first. */
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+        /** Attempts whose request has not been written. */
         private final Set<Attempt> unwritten = new LinkedHashSet<>();
         private InetSocketAddress address;
         private long startedMs;
         private boolean ready = true;
 
-        /** The connection used last among those on which no surplus answer is to be expected, or null. */
-        Connection takeRested(long restNs) {
+        /** Removes and returns the most recently used connection idle for at least a time; null if none. */
+        Connection takeReusable(long minIdleNanos) {
             long now = System.nanoTime();
-            for (Iterator<Connection> each = idle.descendingIterator(); each.hasNext();) {
-                Connection connection = each.next();
-                if (now - connection.idleSince >= restNs) {
-                    each.remove();
+            for (Iterator<Connection> iterator = idle.descendingIterator(); iterator.hasNext();) {
+                Connection connection = iterator.next();
+                if (now - connection.idleSince >= minIdleNanos) {
+                    iterator.remove();
                     return connection;
                 }
             }
@@ -211,20 +245,23 @@
         }
     }
 
-    /** One sending of a request. Until its last byte is written it has never run; after that it may have. */
+    /**
+     * One attempt of a request. Until its last byte is written the upstream can't have processed it; after
+     * that it may have.
+     */
     final class Attempt {
         private final Pool pool;
-        private final Message message;
+        private final RequestFactory requestFactory;
         private final long expiresAt;
         private final Listener listener;
         private Connection connection;
         private Future<?> timer;
         private boolean written;
-        private boolean over;
+        private boolean ended;
 
-        private Attempt(Pool pool, Message message, long expiresAt, Listener listener) {
+        private Attempt(Pool pool, RequestFactory requestFactory, long expiresAt, Listener listener) {
             this.pool = pool;
-            this.message = message;
+            this.requestFactory = requestFactory;
             this.expiresAt = expiresAt;
             this.listener = listener;
         }
@@ -234,184 +271,197 @@
             return written;
         }
 
-        /** Ends the attempt unless its request has been written; a wait to the end is a failed connect. */
-        void withdraw() {
+        /**
+         * Ends the attempt unless its request has been written: as expired if its whole timeout has passed,
+         * otherwise as never sent.
+         */
+        void cancelIfUnwritten() {
             if (written) {
                 return;
             }
-            if (expiresAt - System.nanoTime() < EXPIRY_NS) {
-                late();
+            if (expiresAt - System.nanoTime() < EXPIRY_TOLERANCE_NANOS) {
+                expire();
             } else {
                 end(Outcome.NEVER_SENT);
             }
         }
 
-        /** Gives the attempt up and closes its connection. */
+        /** Ends the attempt and closes its connection. */
         void cancel() {
             end(Outcome.CANCELLED);
         }
 
-        /** That this machine could not connect says nothing about the upstream. */
-        private void late() {
-            boolean local = connection != null && connection.dial != null && connection.dial.failedLocally();
-            end(written ? Outcome.TIMEOUT : local ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
+        /**
+         * Ends the attempt at its timeout. If connecting failed on this machine, that says nothing about the
+         * upstream, and the attempt counts as never sent.
+         */
+        private void expire() {
+            boolean localFailure = connection != null && connection.dial != null
+                    && connection.dial.failedLocally();
+            end(written ? Outcome.TIMEOUT : localFailure ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
         }
 
-        private void broken() {
+        /** Ends the attempt because its connection could not be opened or broke. */
+        private void connectionFailed() {
             end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
         }
 
         private void end(Outcome outcome) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            // First of all: the close fails a pending write, which ends the attempt, too.
-            over = true;
+            // Set before the close, which fails a pending write and would end the attempt a second time.
+            ended = true;
             if (connection != null) {
                 connection.close();
             }
-            end(outcome, null, NO_REPORT);
+            end(outcome, null, NO_LOAD_REPORT);
         }
 
-        private void end(Outcome outcome, RequestDispatcher.UpstreamResponse answer, float[] load) {
-            over = true;
+        private void end(Outcome outcome, RequestDispatcher.UpstreamResponse response, float[] loadReport) {
+            ended = true;
             timer.cancel(false);
             pool.unwritten.remove(this);
-            listener.ended(outcome, answer, load);
+            listener.onEnded(outcome, response, loadReport);
         }
     }
 
-    /** One connection from its dial to its end; it holds a place among the connections for just as long. */
+    /** A connection, counted in {@link #connectionCount} from the start of connecting until it closes. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse>
             implements Dialer.Listener {
         private final Pool pool;
         private Dialer.Dial dial;
         private Channel channel;
-        private boolean placeHeld;
-        private boolean asksForLoad;
-        private Attempt current;
+        /** Whether the connection is counted in {@link #connectionCount}. */
+        private boolean holdsSlot;
+        private boolean isLoadProbe;
+        private Attempt currentAttempt;
         private long idleSince;
         private boolean closed;
-        private Runnable ending;
+        /** Ends an attempt whose response has been read, once the read is complete. */
+        private Runnable deferredEnd;
 
         Connection(Pool pool) {
             this.pool = pool;
         }
 
-        void open(Attempt first) {
-            connections++;
-            placeHeld = true;
-            current = first;
-            first.connection = this;
+        void connect(Attempt attempt) {
+            connectionCount++;
+            holdsSlot = true;
+            currentAttempt = attempt;
+            attempt.connection = this;
             dial = dialer.dial(pool.address, this);
         }
 
         @Override
-        public void onConnected(Channel made) {
-            channel = made;
-            channel.closeFuture().addListener(ended -> leavePlace());
+        public void onConnected(Channel opened) {
+            channel = opened;
+            channel.closeFuture().addListener(future -> releaseSlot());
             channel.pipeline().addLast(new HttpRequestEncoder(), new ResponseDecoder(),
-                    new HttpObjectAggregator(LARGEST_ANSWER), this);
-            write(current);
+                    new HttpObjectAggregator(MAX_RESPONSE_BYTES), this);
+            write(currentAttempt);
         }
 
         @Override
         public void onFailed(Throwable cause) {
             closed = true;
-            leavePlace();
-            current.broken();
+            releaseSlot();
+            currentAttempt.connectionFailed();
         }
 
-        private void leavePlace() {
-            if (placeHeld) {
-                placeHeld = false;
-                connections--;
+        private void releaseSlot() {
+            if (holdsSlot) {
+                holdsSlot = false;
+                connectionCount--;
             }
         }
 
         void write(Attempt attempt) {
-            if (attempt.over) {
+            if (attempt.ended) {
                 close();
                 return;
             }
-            current = attempt;
+            currentAttempt = attempt;
             attempt.connection = this;
-            FullHttpRequest request = attempt.message.withTimeLeft(attempt.expiresAt - System.nanoTime());
-            asksForLoad = request.uri().equals(LOAD_PATH);
+            FullHttpRequest request = attempt.requestFactory.create(attempt.expiresAt - System.nanoTime());
+            isLoadProbe = request.uri().equals(LOAD_PATH);
             channel.writeAndFlush(request).addListener(done -> {
                 if (done.isSuccess()) {
                     attempt.written = true;
                     pool.unwritten.remove(attempt);
                 } else {
-                    attempt.broken();
+                    attempt.connectionFailed();
                 }
             });
         }
 
         void close() {
             closed = true;
-            if (idle.remove(this)) {
+            if (idleConnections.remove(this)) {
                 pool.idle.remove(this);
             }
             if (channel != null) {
                 channel.close();
             } else if (dial != null) {
                 dial.cancel();
-                leavePlace();
+                releaseSlot();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            Attempt attempt = current;
+            Attempt attempt = currentAttempt;
             if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
                 return;
             }
-            if (attempt == null || attempt.over || response.decoderResult().isFailure()) {
+            if (attempt == null || attempt.ended || response.decoderResult().isFailure()) {
                 if (attempt != null) {
                     attempt.end(Outcome.ERROR);
                 }
                 close();
                 return;
             }
-            current = null;
+            currentAttempt = null;
             if (!HttpUtil.isKeepAlive(response) || !attempt.written) {
                 close();
             }
             Outcome outcome = outcome(response);
-            RequestDispatcher.UpstreamResponse answer = outcome == Outcome.OK
+            RequestDispatcher.UpstreamResponse upstreamResponse = outcome == Outcome.OK
                     ? new RequestDispatcher.UpstreamResponse(response.headers(),
                             ByteBufUtil.getBytes(response.content())) : null;
-            float[] load = load(response, asksForLoad);
-            ending = () -> attempt.end(outcome, answer, load);
+            float[] loadReport = parseLoadReport(response, isLoadProbe);
+            deferredEnd = () -> attempt.end(outcome, upstreamResponse, loadReport);
         }
 
-        /** All that came at once is read: a surplus answer has not been taken for the next request's. */
+        /**
+         * Called when everything that had arrived has been read. Only then does the connection become idle
+         * and the attempt end, so that a surplus response is not taken for that of the next request.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (ending != null) {
+            if (deferredEnd != null) {
                 if (!closed && pool.ready) {
                     idleSince = System.nanoTime();
                     pool.idle.addLast(this);
-                    idle.add(this);
+                    idleConnections.add(this);
                 } else {
                     close();
                 }
-                end();
+                runDeferredEnd();
             }
         }
 
-        private void end() {
-            Runnable ends = ending;
-            ending = null;
-            if (ends != null) {
-                ends.run();
+        private void runDeferredEnd() {
+            Runnable end = deferredEnd;
+            deferredEnd = null;
+            if (end != null) {
+                end.run();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            lost();
+            onConnectionLost();
         }
 
         @Override
@@ -419,14 +469,14 @@
             if (!(cause instanceof IOException)) {
                 System.err.println("upstream " + pool.address + ": " + cause);
             }
-            lost();
+            onConnectionLost();
         }
 
-        private void lost() {
+        private void onConnectionLost() {
             close();
-            end();
-            if (current != null) {
-                current.broken();
+            runDeferredEnd();
+            if (currentAttempt != null) {
+                currentAttempt.connectionFailed();
             }
         }
     }
@@ -440,14 +490,14 @@
         };
     }
 
-    /** The load report in the order of the settings' fields; empty where there is none that can be read. */
-    private float[] load(FullHttpResponse response, boolean probe) {
+    /** The load report in the order of the settings' fields; empty if there is none that can be read. */
+    private float[] parseLoadReport(FullHttpResponse response, boolean probe) {
         String text = response.headers().get("Srv-Load");
         if (text == null && probe) {
             text = response.content().toString(StandardCharsets.UTF_8);
         }
         if (text == null || reportFields.isEmpty()) {
-            return NO_REPORT;
+            return NO_LOAD_REPORT;
         }
         try {
             JsonNode node = Config.JSON.readTree(text);
@@ -455,13 +505,13 @@
             for (int i = 0; i < values.length; i++) {
                 JsonNode value = node.path(reportFields.get(i));
                 if (!value.isNumber()) {
-                    return NO_REPORT;
+                    return NO_LOAD_REPORT;
                 }
                 values[i] = value.floatValue();
             }
             return values;
         } catch (JsonProcessingException e) {
-            return NO_REPORT;
+            return NO_LOAD_REPORT;
         }
     }
 }
--- a/src/test/java/pondridge/sidecar/UpstreamClientTest.java
+++ b/src/test/java/pondridge/sidecar/UpstreamClientTest.java
@@ -30,46 +30,46 @@
 import pondridge.Balancer.Outcome;
 import pondridge.SettingsReader;
 
-/** Attempts and probes on real connections, and what they end as. */
+/** Sends attempts and load probes over real connections and checks their outcomes. */
 class UpstreamClientTest {
-    private static final long LONG = 60_000_000_000L;
+    private static final long LONG_TIMEOUT_NANOS = 60_000_000_000L;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    private final BlockingQueue<float[]> reports = new LinkedBlockingQueue<>();
+    private final BlockingQueue<float[]> loadReports = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private UpstreamClient upstreams(InetSocketAddress address, long connectTimeout,
-            int most) throws Exception {
-        SettingsReader settingsReader = new SettingsReader("caps.connectTimeout=" + connectTimeout
+    private UpstreamClient newClient(InetSocketAddress address, long connectTimeoutNanos,
+            int maxConnections) throws Exception {
+        SettingsReader settingsReader = new SettingsReader("caps.connectTimeout=" + connectTimeoutNanos
                 + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
-            UpstreamClient made = new UpstreamClient(loop, settingsReader, most);
-            made.updateUpstream(1, address, 0, true);
-            return made;
+            UpstreamClient client = new UpstreamClient(loop, settingsReader, maxConnections);
+            client.updateUpstream(1, address, 0, true);
+            return client;
         }).get();
     }
 
-    private static UpstreamClient.Message get(String uri) {
-        return left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+    private static UpstreamClient.RequestFactory get(String uri) {
+        return timeLeft -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
     }
 
     private void send(UpstreamClient upstreamClient) {
-        loop.execute(() -> upstreamClient.send(1, get("/api/x"), LONG, this::ended));
+        loop.execute(() -> upstreamClient.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::onEnded));
     }
 
-    private void ended(Outcome outcome, RequestDispatcher.UpstreamResponse answer, float[] load) {
-        reports.add(load);
+    private void onEnded(Outcome outcome, RequestDispatcher.UpstreamResponse response, float[] loadReport) {
+        loadReports.add(loadReport);
         outcomes.add(outcome);
     }
 
-    /** A listener whose queue is full: its machine is there, but no connection comes up. */
-    private static List<Socket> fill(ServerSocket server) throws IOException {
+    /** Fills the accept queue of a server socket, so that further connects hang as with a silent machine. */
+    private static List<Socket> fillBacklog(ServerSocket server) throws IOException {
         List<Socket> fillers = new ArrayList<>();
         while (true) {
             Socket filler = new Socket();
@@ -82,51 +82,51 @@
         }
     }
 
-    /** With more upstreams than connections, every one of them can still be reached. */
+    /** Every upstream can be reached, even if there are more of them than connections allowed. */
     @Test
-    void idleConnectionsGiveWayToNeededOnes() throws Exception {
+    void idleConnectionsAreClosedWhenTheLimitIsReached() throws Exception {
         try (FakeUpstream first = FakeUpstream.serving("1"); FakeUpstream second = FakeUpstream.serving("2");
                 FakeUpstream third = FakeUpstream.serving("3")) {
-            UpstreamClient upstreamClient = upstreams(first.address(), LONG, 2);
+            UpstreamClient upstreamClient = newClient(first.address(), LONG_TIMEOUT_NANOS, 2);
             loop.execute(() -> {
                 upstreamClient.updateUpstream(2, second.address(), 0, true);
                 upstreamClient.updateUpstream(3, third.address(), 0, true);
             });
             for (long id : new long[] {1, 2, 3, 2, 1}) {
-                loop.execute(() -> upstreamClient.send(id, get("/api/x"), LONG, this::ended));
+                loop.execute(() -> upstreamClient.send(id, get("/api/x"), LONG_TIMEOUT_NANOS, this::onEnded));
                 assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "upstream " + id);
                 Thread.sleep(UpstreamClient.MIN_IDLE_BEFORE_REUSE_MS);
             }
             FakeUpstream.next(first.ended);
             FakeUpstream.next(third.ended);
-            assertEquals(0, second.ended.size(), "only those idle for longest have given way");
+            assertEquals(0, second.ended.size(), "closed connections that were not idle for longest");
         }
     }
 
-    /** Once a drain is told, a request that waits for its connection must not go there any more. */
+    /** Once an upstream drains, a request that waits for a connection must not be sent to it. */
     @Test
-    void drainEndsTheWaitForAConnection() throws Exception {
+    void drainEndsAttemptsThatWaitForAConnection() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> fillers = fill(full);
+            List<Socket> fillers = fillBacklog(full);
             InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
-            UpstreamClient upstreamClient = upstreams(address, LONG, 10);
+            UpstreamClient upstreamClient = newClient(address, LONG_TIMEOUT_NANOS, 10);
             send(upstreamClient);
             loop.execute(() -> upstreamClient.updateUpstream(1, address, 0, false));
             assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes));
             send(upstreamClient);
-            assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes), "nor does a later one");
+            assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes), "attempt sent after the drain");
             for (Socket filler : fillers) {
                 filler.close();
             }
         }
     }
 
-    /** A machine that is cut off says nothing: the connect time-out, not the request's, ends the wait. */
+    /** A machine that is cut off does not refuse a connect; the connect timeout ends the attempt. */
     @Test
-    void silentConnectFailsAtItsOwnTimeout() throws Exception {
+    void hangingConnectFailsAtTheConnectTimeout() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> fillers = fill(full);
-            send(upstreams((InetSocketAddress) full.getLocalSocketAddress(), 100_000_000, 10));
+            List<Socket> fillers = fillBacklog(full);
+            send(newClient((InetSocketAddress) full.getLocalSocketAddress(), 100_000_000, 10));
             assertEquals(Outcome.CONNECT_FAILED, FakeUpstream.next(outcomes));
             for (Socket filler : fillers) {
                 filler.close();
@@ -134,26 +134,26 @@
         }
     }
 
-    /** A machine that vanished and came back under its address has not ended the connections to it. */
+    /** A machine that vanished and restarted at the same address has not closed the connections to it. */
     @Test
-    void connectionsToTheProcessBeforeARestartAreClosed() throws Exception {
+    void idleConnectionsAreClosedWhenTheUpstreamRestarts() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
-            UpstreamClient upstreamClient = upstreams(upstream.address(), LONG, 10);
+            UpstreamClient upstreamClient = newClient(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             send(upstreamClient);
             assertEquals(Outcome.OK, FakeUpstream.next(outcomes));
             loop.execute(() ->
                     upstreamClient.updateUpstream(1, upstream.address(), 1_700_000_000_000L, true));
             FakeUpstream.next(upstream.ended);
             send(upstreamClient);
-            assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "on a new one");
+            assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "on a new connection");
         }
     }
 
-    /** Descriptors are few: over the limit an attempt is not sent, instead of the process running out. */
+    /** Beyond the limit an attempt is not sent, so that the process doesn't run out of file descriptors. */
     @Test
-    void connectionsAreBounded() throws Exception {
+    void numberOfConnectionsIsLimited() throws Exception {
         try (FakeUpstream silent = new FakeUpstream((socket, head) -> true)) {
-            UpstreamClient upstreamClient = upstreams(silent.address(), LONG, 2);
+            UpstreamClient upstreamClient = newClient(silent.address(), LONG_TIMEOUT_NANOS, 2);
             send(upstreamClient);
             send(upstreamClient);
             FakeUpstream.next(silent.heads);
@@ -163,54 +163,58 @@
         }
     }
 
-    /** An attempt given up while its request was half written ended twice. */
+    /**
+     * Cancelling closes the connection, and that fails the pending write. The failed write used to end the
+     * attempt a second time.
+     */
     @Test
-    void anAttemptGivenUpWhileWritingEndedTwice() throws Exception {
+    void attemptCancelledDuringItsWriteEndsOnce() throws Exception {
         try (ServerSocket unread = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            UpstreamClient upstreamClient = upstreams((InetSocketAddress) unread.getLocalSocketAddress(),
-                    LONG, 10);
+            UpstreamClient upstreamClient = newClient((InetSocketAddress) unread.getLocalSocketAddress(),
+                    LONG_TIMEOUT_NANOS, 10);
             byte[] body = new byte[32 << 20];
-            UpstreamClient.Message large = left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+            UpstreamClient.RequestFactory large = timeLeft -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.POST, "/api/x", Unpooled.wrappedBuffer(body));
             UpstreamClient.Attempt attempt =
-                    loop.submit(() -> upstreamClient.send(1, large, LONG, this::ended)).get();
+                    loop.submit(() -> upstreamClient.send(1, large, LONG_TIMEOUT_NANOS, this::onEnded)).get();
             try (Socket accepted = unread.accept()) {
                 assertTrue(accepted.getInputStream().read() >= 0, "the request has begun to arrive");
                 loop.submit(attempt::cancel).sync();
                 assertEquals(Outcome.CANCELLED, FakeUpstream.next(outcomes));
                 loop.submit(() -> { }).sync();
-                assertNull(outcomes.poll(), "one outcome, and no more");
+                assertNull(outcomes.poll(), "second outcome");
             }
         }
     }
 
-    /** Reports come in the settings' order, from answers and probes; bad ones are none, never a crash. */
+    /** Load reports of responses and probes have the order of the settings; malformed ones count as none. */
     @Test
-    void loadReportsAreRead() throws Exception {
+    void loadReportsAreParsed() throws Exception {
         List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}",
                 "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
         try (FakeUpstream upstream = new FakeUpstream((socket, head) -> head.startsWith("GET /metrics/load")
                 ? FakeUpstream.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
-                : FakeUpstream.reply(socket, "200 OK", "Srv-Load: " + FakeUpstream.header(head, "Say")
+                : FakeUpstream.reply(socket, "200 OK", "Srv-Load: " + FakeUpstream.header(head, "Report-Text")
                 + "\r\n", "x"))) {
-            UpstreamClient upstreamClient = upstreams(upstream.address(), LONG, 10);
+            UpstreamClient upstreamClient = newClient(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             for (String text : texts) {
                 FullHttpRequest request =
                         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-                request.headers().set("Say", text);
-                loop.execute(() -> upstreamClient.send(1, left -> request, LONG, this::ended));
+                request.headers().set("Report-Text", text);
+                loop.execute(() ->
+                        upstreamClient.send(1, timeLeft -> request, LONG_TIMEOUT_NANOS, this::onEnded));
                 assertEquals(Outcome.OK, FakeUpstream.next(outcomes));
                 assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0],
-                        FakeUpstream.next(reports));
+                        FakeUpstream.next(loadReports));
             }
-            loop.execute(() -> upstreamClient.probe(1, this::ended));
-            assertArrayEquals(new float[] {7, 0}, FakeUpstream.next(reports));
+            loop.execute(() -> upstreamClient.probe(1, this::onEnded));
+            assertArrayEquals(new float[] {7, 0}, FakeUpstream.next(loadReports));
         }
     }
 
-    /** Who answers one request twice must not have the second answer taken for the next request's. */
+    /** A second response to one request must not be taken for the response to the next request. */
     @Test
-    void surplusAnswerIsNobodys() throws Exception {
+    void surplusResponseIsDiscarded() throws Exception {
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
         try (FakeUpstream upstream = new FakeUpstream((socket, head) -> {
             String surplus = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nsurplus";
@@ -218,20 +222,21 @@
                     + (head.startsWith("GET /first") ? surplus : ""));
             return true;
         })) {
-            UpstreamClient upstreamClient = upstreams(upstream.address(), LONG, 10);
-            UpstreamClient.Listener last = (outcome, answer, load) ->
-                    bodies.add(new String(answer.body(), StandardCharsets.ISO_8859_1));
-            loop.execute(() -> upstreamClient.send(1, get("/first"), LONG, (outcome, answer, load) ->
-                    upstreamClient.send(1, get("/next"), LONG, last)));
+            UpstreamClient upstreamClient = newClient(upstream.address(), LONG_TIMEOUT_NANOS, 10);
+            UpstreamClient.Listener listener = (outcome, response, loadReport) ->
+                    bodies.add(new String(response.body(), StandardCharsets.ISO_8859_1));
+            loop.execute(() -> upstreamClient.send(1, get("/first"), LONG_TIMEOUT_NANOS,
+                    (outcome, response, loadReport) ->
+                            upstreamClient.send(1, get("/next"), LONG_TIMEOUT_NANOS, listener)));
             assertEquals("own", FakeUpstream.next(bodies));
         }
     }
 
-    /** An answer beyond what a body may hold must not fill the memory. */
+    /** A response larger than a body may be must not exhaust the memory. */
     @Test
-    void overlongAnswerIsAnError() throws Exception {
+    void oversizedResponseIsAnError() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x".repeat(200_000))) {
-            send(upstreams(upstream.address(), LONG, 10));
+            send(newClient(upstream.address(), LONG_TIMEOUT_NANOS, 10));
             assertEquals(false, FakeUpstream.next(outcomes).provesNeverRan());
         }
     }
