--- a/src/test/java/pondridge/sidecar/WaitedRequestTest.java
+++ b/src/test/java/pondridge/sidecar/StalledRequestTest.java
@@ -6,13 +6,17 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-class WaitedRequestTest {
-    /** What had lain unread for a moment was taken for a client's last try, and refused as too late. */
+class StalledRequestTest {
+    /**
+     * A request that lay unread while the event loop was stalled has less time left than usual. It used to be
+     * taken for a client retry and refused as too late.
+     */
     @Test
-    void aRequestBehindAStallWasRefusedAsALaterTry() throws Exception {
+    void requestUnreadDuringAStallIsNotTakenForAClientRetry() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
             ObjectNode json = SidecarHarness.json(upstream);
-            // First tries have half of the deadline; the aim is shorter than the other half.
+            // Requests come with half of their class's deadline. For a client retry the other half counts as
+            // elapsed, which is longer than the latency target.
             ((ObjectNode) json.at("/settings/profiles/0")).put("slo", 5_000_000_000L);
             String request = SidecarHarness.look("a")
                     .replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 10000");
@@ -21,11 +25,11 @@
                 for (int i = 0; i < 5; i++) {
                     assertEquals(200, client.ask(request).status());
                 }
-                CountDownLatch go = new CountDownLatch(1);
-                harness.stall(go);
+                CountDownLatch resume = new CountDownLatch(1);
+                harness.stall(resume);
                 FakeUpstream.write(client.socket, request);
                 Thread.sleep(300);
-                go.countDown();
+                resume.countDown();
                 assertEquals(200, client.read().status());
             }
         }
