--- a/src/main/java/pondridge/sidecar/LifecycleGuard.java
+++ b/src/main/java/pondridge/sidecar/LifecycleGuard.java
@@ -5,29 +5,32 @@
 import java.util.Map;
 
 /**
- * The one place that allows a request to be started, sent, repeated, answered, and a connection closed.
- * What must not be done is blocked and counted; what was found to have gone wrong all the same is counted
- * as a violation and logged. Both counts are part of the line on the sidecar's state.
+ * Checks the invariants of requests and connections. Before a request is started, sent, repeated or answered,
+ * or an idle connection closed, the caller asks here; a step that is not allowed is counted as blocked. An
+ * invariant found broken is counted as a violation and logged. The state line shows both counts.
+ *
+ * <p>The {@code may} methods belong on the event loop; a call on another thread is reported as a violation.
+ * The {@code report} methods may be called on any thread.
  */
 final class LifecycleGuard {
-    /** What is asked for. */
+    /** A step that needs permission. */
     enum Step { START, SEND, REPEAT, ANSWER, CLOSE }
 
-    /** What may have gone wrong all the same. */
+    /** An invariant that was found broken. */
     enum Violation {
-        /** State was touched on another thread than the event loop. */
+        /** A method was called on a thread other than the event loop. */
         OFF_LOOP,
-        /** A request was answered more than half a second after its time. */
+        /** A request got its response more than half a second after the client's timeout. */
         ANSWERED_LATE,
-        /** A connection was closed from here although a request on it had no answer. */
+        /** The sidecar closed a connection although a request on it had no response. */
         CLOSED_UNANSWERED,
         /** An attempt ended a second time. */
         ENDED_TWICE,
-        /** An event was not handled to its end. */
+        /** The handling of an event ended with an exception. */
         EXCEPTION
     }
 
-    private static final long LATE_NS = 500_000_000;
+    private static final long MAX_OVERDUE_NANOS = 500_000_000;
 
     private final EventLoop loop;
     private final Map<Step, Long> blocked = new EnumMap<>(Step.class);
@@ -37,29 +40,40 @@
         this.loop = loop;
     }
 
-    /** Nothing is begun for a client that has gone. */
-    boolean mayStart(boolean clientThere) {
-        return allow(Step.START, clientThere);
+    /** A request is started only while its client is connected. */
+    boolean mayStart(boolean clientConnected) {
+        return allow(Step.START, clientConnected);
     }
 
-    /** Nothing is sent for a request that has its answer, whose client has left or whose time is over. */
-    boolean maySend(boolean open, boolean timeLeft) {
-        return allow(Step.SEND, open && timeLeft);
+    /**
+     * An attempt is sent only while the client waits for its response and the deadline has not passed.
+     *
+     * @param clientWaiting whether the request is unfinished and its client connected
+     */
+    boolean maySend(boolean clientWaiting, boolean timeLeft) {
+        return allow(Step.SEND, clientWaiting && timeLeft);
     }
 
-    /** Nothing is repeated too often, nor, where that is unsafe, after an attempt that may have run. */
-    boolean mayRepeat(boolean triesLeft, boolean safe) {
-        return allow(Step.REPEAT, triesLeft && safe);
+    /**
+     * A further attempt is made only below the limit on attempts, and only if it is safe.
+     *
+     * @param safe whether the request class allows repeats or no attempt can have run
+     */
+    boolean mayRetry(boolean attemptsLeft, boolean safe) {
+        return allow(Step.REPEAT, attemptsLeft && safe);
     }
 
-    /** A request gets one final answer. */
-    boolean mayAnswer(boolean open) {
-        return allow(Step.ANSWER, open);
+    /** A request gets one final response. */
+    boolean mayRespond(boolean unfinished) {
+        return allow(Step.ANSWER, unfinished);
     }
 
-    /** No connection is closed that holds a request, receives one, or carries an answer. */
-    boolean mayClose(boolean resting) {
-        return allow(Step.CLOSE, resting);
+    /**
+     * A connection is closed only while idle: without a request on it, arriving or waiting for its response,
+     * and without a response being written.
+     */
+    boolean mayClose(boolean idle) {
+        return allow(Step.CLOSE, idle);
     }
 
     private boolean allow(Step step, boolean allowed) {
@@ -70,7 +84,7 @@
         return allowed;
     }
 
-    /** Checks that the caller is on the event loop. */
+    /** Checks that the caller is on the event loop, and reports a violation if not. */
     boolean checkLoop(String where) {
         boolean onLoop = loop.inEventLoop();
         if (!onLoop) {
@@ -79,14 +93,15 @@
         return onLoop;
     }
 
-    /** Checks the time of an answer; {@code overdue} in nanoseconds is negative while in time. */
-    void checkAnswerTime(long overdue, String requestId) {
-        if (overdue > LATE_NS) {
-            report(Violation.ANSWERED_LATE, requestId + " " + overdue / 1_000_000 + " ms after its time");
+    /** Checks the time of a response; {@code overdueNanos} is negative before the client's timeout. */
+    void checkResponseTime(long overdueNanos, String requestId) {
+        if (overdueNanos > MAX_OVERDUE_NANOS) {
+            report(Violation.ANSWERED_LATE,
+                    requestId + " " + overdueNanos / 1_000_000 + " ms after its timeout");
         }
     }
 
-    /** Takes a violation that was found; the first ones and then ever fewer are logged. */
+    /** Counts a violation, and logs it if the count is a power of two, which limits the lines in the log. */
     synchronized void report(Violation violation, String detail) {
         long count = violations.merge(violation, 1L, Long::sum);
         if (Long.bitCount(count) == 1) {
@@ -94,18 +109,18 @@
         }
     }
 
-    /** Takes an exception that nothing was prepared for. */
+    /** Reports an unexpected exception. */
     void report(String where, Throwable exception) {
         StackTraceElement[] trace = exception.getStackTrace();
         report(Violation.EXCEPTION, where + ": " + exception + (trace.length == 0 ? "" : " at " + trace[0]));
     }
 
-    /** How often something went wrong. */
+    /** The number of violations so far. */
     synchronized long violations() {
         return violations.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** For the line on the sidecar's state. */
+    /** The counts as the state line shows them. */
     @Override
     public synchronized String toString() {
         return "violations " + violations() + (violations.isEmpty() ? "" : " " + violations) + ", blocked "
--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -393,12 +393,12 @@
 
     /** Gives the final response, unless the request is finished already. */
     private void finish(long id, PendingRequest pending, Runnable response) {
-        if (!guard.mayAnswer(!pending.finished)) {
+        if (!guard.mayRespond(!pending.finished)) {
             return;
         }
         pending.finished = true;
         long elapsed = now() - pending.submittedAt + pending.clientRequest.waitedNanos();
-        guard.checkAnswerTime(elapsed - pending.clientRequest.timeoutMs() * 1_000_000,
+        guard.checkResponseTime(elapsed - pending.clientRequest.timeoutMs() * 1_000_000,
                 pending.clientRequest.id());
         response.run();
         // Attempts that still wait for a connection must not be sent for a finished request.
@@ -427,7 +427,7 @@
         boolean allowed = guard.maySend(!pending.finished && pending.client.isConnected(),
                         now < pending.deadline)
                 && (attemptIndex == 0
-                        || guard.mayRepeat(attemptIndex < maxAttempts, pending.isSafeToRetry()));
+                        || guard.mayRetry(attemptIndex < maxAttempts, pending.isSafeToRetry()));
         if (!allowed) {
             pending.attempts.add(null);
             onAttemptEnded(request, pending, attemptIndex, upstream, now, Outcome.NEVER_SENT, null,
