--- a/src/main/java/pondridge/sidecar/Dialer.java
+++ b/src/main/java/pondridge/sidecar/Dialer.java
@@ -12,22 +12,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Opens TCP connections, for upstreams and for discovery alike.
+ * Opens TCP connections to upstreams and to the discovery service.
  *
- * <p>Everything happens on the event loop: Netty's own bootstrap reports a channel that could not be created
- * on another thread. What fails on this machine before the network is asked (no descriptor, port, buffer or
- * route) says nothing about the other side; it is tried again until the caller cancels.
+ * <p>Used on the event loop, where the listeners are called, too. Netty's bootstrap would report a channel
+ * that could not be created on another thread. An error on this machine before a packet is sent (no file
+ * descriptor, port, buffer or route) says nothing about the other side; such a dial is retried until it
+ * succeeds, fails at the other side, or is cancelled.
  */
 final class Dialer {
-    private static final long FIRST_RETRY_MS = 2;
-    private static final long LONGEST_RETRY_MS = 32;
+    private static final long MIN_RETRY_DELAY_MS = 2;
+    private static final long MAX_RETRY_DELAY_MS = 32;
 
-    /** Learns the result of one dial: one of the two methods is called once, unless the dial is cancelled. */
+    /** Is notified of the result of a dial: one method is called, once, unless the dial is cancelled. */
     interface Listener {
-        /** The connection is up and belongs to the listener, which adds its handlers at once. */
+        /** The connection is open and belongs to the listener, which adds its handlers in this call. */
         void onConnected(Channel channel);
 
-        /** The other side refused, could not be reached, or did not answer in time. */
+        /** The other side refused the connection, could not be reached, or did not respond in time. */
         void onFailed(Throwable cause);
     }
 
@@ -35,49 +36,49 @@
     private final int timeoutMs;
     private long localFailures;
 
-    /** A dialer whose connections fail if they are not up within a time-out. */
+    /** Creates a dialer whose dials fail if the connection is not open within the timeout. */
     Dialer(EventLoop loop, int timeoutMs) {
         this.loop = loop;
         this.timeoutMs = timeoutMs;
     }
 
-    /** How often a dial has failed on this machine so far. */
+    /** The number of errors on this machine so far. */
     long localFailures() {
         return localFailures;
     }
 
-    /** Begins to connect. */
+    /** Starts to connect. The listener may be called before this method returns. */
     Dial dial(InetSocketAddress address, Listener listener) {
         Dial dial = new Dial(address, listener);
-        dial.attempt();
+        dial.connect();
         return dial;
     }
 
-    /** One connection on its way. */
+    /** A connection being opened. */
     final class Dial {
         private final InetSocketAddress address;
         private final Listener listener;
         private Channel channel;
         private Future<?> retry;
-        private long retryMs = FIRST_RETRY_MS;
-        private boolean over;
+        private long retryDelayMs = MIN_RETRY_DELAY_MS;
+        private boolean finished;
 
         private Dial(InetSocketAddress address, Listener listener) {
             this.address = address;
             this.listener = listener;
         }
 
-        /** Whether the last try failed on this machine, and no later one has begun. */
+        /** Whether connecting failed on this machine, and the retry has not started. */
         boolean failedLocally() {
             return retry != null;
         }
 
-        /** Gives the dial up; the listener hears nothing more. */
+        /** Ends the dial; the listener is not called any more. */
         void cancel() {
-            if (over) {
+            if (finished) {
                 return;
             }
-            over = true;
+            finished = true;
             if (retry != null) {
                 retry.cancel(false);
             }
@@ -86,51 +87,52 @@
             }
         }
 
-        private void attempt() {
+        private void connect() {
             retry = null;
             try {
                 channel = new RetryingSocketChannel();
             } catch (ChannelException e) {
-                tryAgain(e);
+                scheduleRetry(e);
                 return;
             }
             channel.config().setOption(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs);
             channel.config().setOption(ChannelOption.TCP_NODELAY, true);
-            ChannelFuture registered = loop.register(channel);
-            ChannelFuture connected = registered.isDone() && !registered.isSuccess() ? registered
-                    : channel.connect(address);
-            boolean atOnce = connected.isDone();
-            connected.addListener(done -> ended(done.cause(), atOnce));
+            ChannelFuture registerFuture = loop.register(channel);
+            ChannelFuture connectFuture = registerFuture.isDone() && !registerFuture.isSuccess()
+                    ? registerFuture : channel.connect(address);
+            boolean immediate = connectFuture.isDone();
+            connectFuture.addListener(future -> onConnectDone(future.cause(), immediate));
         }
 
-        private void ended(Throwable cause, boolean atOnce) {
-            if (over) {
+        private void onConnectDone(Throwable cause, boolean immediate) {
+            if (finished) {
                 return;
             }
             if (cause == null) {
-                over = true;
+                finished = true;
                 listener.onConnected(channel);
                 return;
             }
             channel.close();
-            // A refusal may come at once from a peer on this machine; it is the only such answer of a peer.
-            if (atOnce && cause instanceof IOException && !(cause instanceof ConnectException)) {
-                tryAgain(cause);
+            // An error known when connect() returns is one of this machine. Only a refusal can come from the
+            // other side as quickly, if that runs on this machine, too.
+            if (immediate && cause instanceof IOException && !(cause instanceof ConnectException)) {
+                scheduleRetry(cause);
             } else {
-                over = true;
+                finished = true;
                 listener.onFailed(cause);
             }
         }
 
-        private void tryAgain(Throwable cause) {
+        private void scheduleRetry(Throwable cause) {
             localFailures++;
             if (Long.bitCount(localFailures) == 1) {
                 System.err.println("dial: failed on this machine, " + localFailures + " times so far: "
                         + cause);
             }
             channel = null;
-            retry = loop.schedule(this::attempt, retryMs, TimeUnit.MILLISECONDS);
-            retryMs = Math.min(2 * retryMs, LONGEST_RETRY_MS);
+            retry = loop.schedule(this::connect, retryDelayMs, TimeUnit.MILLISECONDS);
+            retryDelayMs = Math.min(2 * retryDelayMs, MAX_RETRY_DELAY_MS);
         }
     }
 }
