--- a/src/main/java/pondridge/sidecar/RetryingSocketChannel.java
+++ b/src/main/java/pondridge/sidecar/RetryingSocketChannel.java
@@ -9,31 +9,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP connection that outlives reads and writes which fail for a moment. Netty takes an interrupted read
- * for the connection's end, and any failed call for its loss.
+ * A TCP connection that survives transient errors of reads and writes: the failed call is repeated a little
+ * later. Netty alone treats an interrupted read as the end of the stream, and any failed call as the loss of
+ * the connection.
  */
 final class RetryingSocketChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
-    private static final long RETRY_MS = 2;
-    /** What goes on failing for so long is no passing fault. */
-    private static final long LONGEST_FAULT_NS = 1_000_000_000;
+    private static final long RETRY_DELAY_MS = 2;
+    /** Errors that persist longer than this are not transient and close the connection. */
+    private static final long MAX_ERROR_DURATION_NANOS = 1_000_000_000;
 
-    private IOException readFault;
-    private long readFaultSince;
-    private long writeFaultSince;
+    /** The latest read error if no byte has been read since; else null. */
+    private IOException readError;
+    private long readFailingSince;
+    private long writeFailingSince;
 
-    /** A connection yet to be made. */
+    /** Creates a channel that is not connected. */
     RetryingSocketChannel() {
     }
 
-    /** A connection that a listener has accepted. */
+    /** Creates the channel of an accepted connection. */
     RetryingSocketChannel(Channel parent, SocketChannel socket) {
         super(parent, socket);
     }
 
     /**
-     * Reads what is there; 0 where the read was interrupted (the JDK's -3) or failed for a moment. An end
-     * behind a fault is reported as the fault: the stream may not have come whole.
+     * Reads the available bytes. Returns 0 if the read was interrupted (-3 from the JDK) or its error may be
+     * transient. An end of stream that follows an error is reported as that error, since the stream may be
+     * incomplete.
      */
     @Override
     protected int doReadBytes(ByteBuf buffer) throws Exception {
@@ -41,54 +44,54 @@
         try {
             count = super.doReadBytes(buffer);
         } catch (IOException e) {
-            return readLater(e);
+            return retryRead(e);
         }
-        if (count == END_OF_STREAM && readFault != null) {
-            throw readFault;
+        if (count == END_OF_STREAM && readError != null) {
+            throw readError;
         }
         if (count > 0) {
-            readFault = null;
+            readError = null;
         }
         return count < END_OF_STREAM ? 0 : count;
     }
 
-    /** Writes what can be written now; what fails for a moment is written later, in the same order. */
+    /** Writes what the socket takes. What a transient error leaves over is written later, in order. */
     @Override
-    protected void doWrite(ChannelOutboundBuffer pending) throws Exception {
+    protected void doWrite(ChannelOutboundBuffer buffer) throws Exception {
         try {
-            super.doWrite(pending);
-            writeFaultSince = 0;
+            super.doWrite(buffer);
+            writeFailingSince = 0;
         } catch (IOException e) {
-            writeLater(e);
+            retryWrite(e);
         }
     }
 
-    private void writeLater(IOException fault) throws IOException {
+    private void retryWrite(IOException error) throws IOException {
         long now = System.nanoTime();
-        if (writeFaultSince == 0) {
-            writeFaultSince = now;
+        if (writeFailingSince == 0) {
+            writeFailingSince = now;
         }
-        if (SocketErrors.endsConnection(fault) || now - writeFaultSince > LONGEST_FAULT_NS) {
-            throw fault;
+        if (SocketErrors.endsConnection(error) || now - writeFailingSince > MAX_ERROR_DURATION_NANOS) {
+            throw error;
         }
         eventLoop().schedule(() -> {
             flush();
-        }, RETRY_MS, TimeUnit.MILLISECONDS);
+        }, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    private int readLater(IOException fault) throws IOException {
+    private int retryRead(IOException error) throws IOException {
         long now = System.nanoTime();
-        if (readFault == null) {
-            readFaultSince = now;
+        if (readError == null) {
+            readFailingSince = now;
         }
-        readFault = fault;
-        if (SocketErrors.endsConnection(fault) || now - readFaultSince > LONGEST_FAULT_NS) {
-            throw fault;
+        readError = error;
+        if (SocketErrors.endsConnection(error) || now - readFailingSince > MAX_ERROR_DURATION_NANOS) {
+            throw error;
         }
         config().setAutoRead(false);
         eventLoop().schedule(() -> {
             config().setAutoRead(true);
-        }, RETRY_MS, TimeUnit.MILLISECONDS);
+        }, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         return 0;
     }
 }
