--- a/src/main/java/pondridge/sidecar/ServerChannel.java
+++ b/src/main/java/pondridge/sidecar/ServerChannel.java
@@ -5,9 +5,9 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listener whose connections are {@link RetryingSocketChannel}s. */
+/** A listening socket that accepts connections as {@link RetryingSocketChannel}s. */
 final class ServerChannel extends NioServerSocketChannel {
-    private static final int MOST_READS = 16;
+    private static final int MAX_READS_PER_LOOP = 16;
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
@@ -17,9 +17,10 @@
         }
         try {
             RetryingSocketChannel connection = new RetryingSocketChannel(this, socket);
-            // Reads until nothing more is there, so that a close right behind a request is seen with it.
+            // Keeps reading, up to the maximum, until the socket is empty, so that a close right after a
+            // request is seen together with it.
             AdaptiveRecvByteBufAllocator buffers = new AdaptiveRecvByteBufAllocator();
-            buffers.maxMessagesPerRead(MOST_READS);
+            buffers.maxMessagesPerRead(MAX_READS_PER_LOOP);
             buffers.respectMaybeMoreData(false);
             connection.config().setRecvByteBufAllocator(buffers);
             accepted.add(connection);
