--- a/src/main/java/pondridge/sidecar/SocketErrors.java
+++ b/src/main/java/pondridge/sidecar/SocketErrors.java
@@ -3,19 +3,20 @@
 import java.io.IOException;
 import java.nio.channels.ClosedChannelException;
 
-/** Tells what a failed call on a TCP connection means. */
+/** Classifies the errors of calls on a TCP connection. */
 final class SocketErrors {
     private SocketErrors() { }
 
     /**
-     * Whether the connection is known to be gone. Everything else may pass (a lack of buffers or memory), or
-     * is followed by the connection's end at the next call, as Linux reports a pending error but once.
+     * Whether an error means that the connection is lost. Any other error may be transient (a lack of buffers
+     * or memory). If it is not, the next call finds the connection closed, since Linux reports a pending
+     * error only once.
      */
-    static boolean endsConnection(IOException fault) {
-        if (fault instanceof ClosedChannelException) {
+    static boolean endsConnection(IOException error) {
+        if (error instanceof ClosedChannelException) {
             return true;
         }
-        String message = String.valueOf(fault.getMessage());
+        String message = String.valueOf(error.getMessage());
         return message.contains("reset") || message.contains("Broken pipe");
     }
 }
