--- a/src/main/java/pondridge/sidecar/ResponseDecoder.java
+++ b/src/main/java/pondridge/sidecar/ResponseDecoder.java
@@ -4,12 +4,12 @@
 import io.netty.util.AsciiString;
 
 /**
- * Reads upstreams' answers. Netty takes blanks before a header's colon for granted, and so a line that has
- * words and no colon for a header with no value; such an answer can't be read under the protocol.
+ * Decodes upstreams' responses. Netty lets a blank end a header's name, and so takes a line of words without
+ * a colon for a header without a value. This decoder rejects such a response as malformed.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
-    /** Called for each header line that goes on behind its name, so that one more byte is there. */
+    /** Called for each header line that continues after the name, so that there is at least one more byte. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         int next = start + length;
@@ -17,7 +17,7 @@
             next++;
         }
         if (line[next] != ':') {
-            throw new IllegalArgumentException("no colon behind a header's name");
+            throw new IllegalArgumentException("no colon after the header name");
         }
         return super.splitHeaderName(line, start, length);
     }
