--- a/src/main/java/pondridge/sidecar/HeaderFilter.java
+++ b/src/main/java/pondridge/sidecar/HeaderFilter.java
@@ -4,9 +4,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Which headers go on through the sidecar. */
+/** Copies the headers that the sidecar passes on, of requests to upstreams and of their responses. */
 final class HeaderFilter {
-    /** They speak of one connection, or tell the sidecar what is not for the application. */
+    /** Headers that concern a single connection, or are meant for the sidecar and not for the application. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(HttpHeaderNames.CONNECTION,
             "Proxy-Connection", "Keep-Alive", HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
             HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT,
@@ -15,13 +15,13 @@
 
     private HeaderFilter() { }
 
-    /** Copies all but the headers of one hop, and of those also what {@code Connection} names. */
+    /** Copies all headers but the hop-by-hop ones, which include those that {@code Connection} names. */
     static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         to.set(from);
         for (String value : from.getAll(HttpHeaderNames.CONNECTION)) {
-            for (String named : value.split(",")) {
-                if (!named.isBlank()) {
-                    to.remove(named.trim());
+            for (String name : value.split(",")) {
+                if (!name.isBlank()) {
+                    to.remove(name.trim());
                 }
             }
         }
