--- a/src/main/java/pondridge/sidecar/Dialer.java
+++ b/src/main/java/pondridge/sidecar/Dialer.java
@@ -14,10 +14,10 @@
 /**
  * Opens TCP connections to upstreams and to the discovery service.
  *
- * <p>Used on the event loop, where the listeners are called, too. Netty's bootstrap would report a channel
- * that could not be created on another thread. An error on this machine before a packet is sent (no file
- * descriptor, port, buffer or route) says nothing about the other side; such a dial is retried until it
- * succeeds, fails at the other side, or is cancelled.
+ * <p>Used on the event loop, where the listeners are called, too. Netty's bootstrap is not used because it
+ * reports on another thread that a channel could not be created. An error on this machine before a packet is
+ * sent (no file descriptor, port, buffer or route) is no failure of the other side; connecting is retried
+ * until it succeeds, the other side fails, or the dial is cancelled.
  */
 final class Dialer {
     private static final long MIN_RETRY_DELAY_MS = 2;
--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -77,7 +77,7 @@
         /** Whether the client is still connected. */
         boolean isConnected();
 
-        /** An upstream has processed the request. */
+        /** An upstream has served the request. */
         void onServed(UpstreamResponse response);
 
         /**
@@ -141,7 +141,7 @@
     private final StartTimeConverter startTimeConverter = new StartTimeConverter();
     /**
      * Makes the sidecar's clock start far above 0, so that upstreams that started before the sidecar have a
-     * positive start time. The balancer takes a start time of 0 for "long ago".
+     * positive start time. A start time of 0 means "long ago".
      */
     private final long clockOffset = TimeUnit.DAYS.toNanos(CLOCK_START_DAYS) - System.nanoTime();
     /** Whether {@link #deliver} is running. */
@@ -197,7 +197,7 @@
         return guard;
     }
 
-    /** Moves discovery to another address, after a reload of the configuration. */
+    /** Switches to another address of the discovery service, after a reload of the configuration. */
     void setDiscoveryAddress(InetSocketAddress address) {
         discoveryClient.move(address);
     }
@@ -211,8 +211,8 @@
     }
 
     /**
-     * Delivers an event to the balancer. An event that arises during another one's delivery is queued until
-     * that returns, since the balancer is not reentrant.
+     * Delivers an event to the balancer. An event that occurs during another one's delivery is queued until
+     * that delivery has ended, since the balancer is not reentrant.
      */
     private void deliver(LongConsumer event) {
         if (!guard.checkLoop("event")) {
@@ -307,17 +307,17 @@
                 classes.get(clientRequest.classIndex()));
         pending.submittedAt = now();
         pendingRequests.put(id, pending);
-        // Room for two stalls, since the client's timeout runs from its send: one may have left the request
-        // unread, another may delay the response.
+        // Reserves time for two stalls, since the client's timeout runs from its send: one may have left the
+        // request unread, another may delay the response.
         long reserve = Math.min(2 * stallEstimator.recent(pending.submittedAt),
                 timeLeft / STALL_RESERVE_DIVISOR);
         loop.execute(() -> stallEstimator.lasted(now(), now() - pending.submittedAt));
-        // The balancer responds by the deadline; this timer finishes a request that it has missed.
+        // The balancer responds by the deadline. This timer finishes requests to which it has not responded.
         loop.schedule(() -> abort(id, pending, "OVERDUE"), timeLeft - reserve + RESPONSE_MARGIN_NANOS / 2,
                 TimeUnit.NANOSECONDS);
         deliver(now -> {
             pending.deadline = now + timeLeft - reserve;
-            // The balancer takes a timeout other than the usual one for that of a client retry. The time
+            // The balancer identifies client retries by a timeout that differs from the usual one. The time
             // already waited is therefore added to the reserve, not subtracted from the timeout.
             balancer.requestArrived(now, new Request(id, clientRequest.classIndex(), clientRequest.tenant(),
                     clientRequest.key(), clientTimeout, reserve + clientRequest.waitedNanos(),
--- a/src/main/java/pondridge/sidecar/ResponseDecoder.java
+++ b/src/main/java/pondridge/sidecar/ResponseDecoder.java
@@ -4,8 +4,8 @@
 import io.netty.util.AsciiString;
 
 /**
- * Decodes upstreams' responses. Netty lets a blank end a header's name, and so takes a line of words without
- * a colon for a header without a value. This decoder rejects such a response as malformed.
+ * Decodes upstreams' responses. Netty ends a header's name at the first blank, and therefore accepts a line
+ * without a colon as a header without a value. This decoder rejects such a response as malformed.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
--- a/src/main/java/pondridge/sidecar/RetryingSocketChannel.java
+++ b/src/main/java/pondridge/sidecar/RetryingSocketChannel.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP connection that survives transient errors of reads and writes: the failed call is repeated a little
+ * A TCP connection that tolerates transient errors of reads and writes: the failed call is repeated a little
  * later. Netty alone treats an interrupted read as the end of the stream, and any failed call as the loss of
  * the connection.
  */
@@ -55,7 +55,7 @@
         return count < END_OF_STREAM ? 0 : count;
     }
 
-    /** Writes what the socket takes. What a transient error leaves over is written later, in order. */
+    /** Writes as much as the socket accepts. Bytes left over by a transient error are written later. */
     @Override
     protected void doWrite(ChannelOutboundBuffer buffer) throws Exception {
         try {
--- a/src/main/java/pondridge/sidecar/UpstreamClient.java
+++ b/src/main/java/pondridge/sidecar/UpstreamClient.java
@@ -88,8 +88,8 @@
     /**
      * Creates a client with a minimum idle time of its own.
      *
-     * @param minIdleNanos how long a connection has to be idle before it is reused; 0 will do for upstreams
-     *     that send no surplus responses
+     * @param minIdleNanos how long a connection has to be idle before it is reused; 0 suffices for
+     *     upstreams that send no surplus responses
      */
     UpstreamClient(EventLoop loop, SettingsReader settingsReader, int maxConnections, long minIdleNanos) {
         this.loop = loop;
@@ -110,7 +110,7 @@
      * Applies a list entry. An upstream that is not ready is removed, see {@link #removeUpstream}.
      *
      * <p>Idle connections are closed if the address has changed or the upstream has restarted: a machine that
-     * vanished has not closed them, and a request written to one would count as possibly processed.
+     * failed abruptly has not closed them, and a request written to one would count as possibly processed.
      *
      * @param startedMs when the upstream's process started, in wall-clock time; 0 if unknown
      */
@@ -292,7 +292,7 @@
         }
 
         /**
-         * Ends the attempt at its timeout. If connecting failed on this machine, that says nothing about the
+         * Ends the attempt at its timeout. If connecting failed on this machine, that is no failure of the
          * upstream, and the attempt counts as never sent.
          */
         private void expire() {
--- a/src/test/java/pondridge/sidecar/StalledRequestTest.java
+++ b/src/test/java/pondridge/sidecar/StalledRequestTest.java
@@ -8,8 +8,8 @@
 
 class StalledRequestTest {
     /**
-     * A request that lay unread while the event loop was stalled has less time left than usual. It used to be
-     * taken for a client retry and refused as too late.
+     * A request that was left unread while the event loop was stalled has less time left than usual. It used
+     * to be taken for a client retry and refused as too late.
      */
     @Test
     void requestUnreadDuringAStallIsNotTakenForAClientRetry() throws Exception {
--- a/src/test/java/pondridge/sidecar/UpstreamClientTest.java
+++ b/src/test/java/pondridge/sidecar/UpstreamClientTest.java
@@ -68,7 +68,7 @@
         outcomes.add(outcome);
     }
 
-    /** Fills the accept queue of a server socket, so that further connects hang as with a silent machine. */
+    /** Fills the accept queue of a server socket, so that further connects get no reply. */
     private static List<Socket> fillBacklog(ServerSocket server) throws IOException {
         List<Socket> fillers = new ArrayList<>();
         while (true) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /** A machine that is cut off does not refuse a connect; the connect timeout ends the attempt. */
+    /** An unreachable machine does not refuse a connect, so the connect timeout has to end the attempt. */
     @Test
     void hangingConnectFailsAtTheConnectTimeout() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** A machine that vanished and restarted at the same address has not closed the connections to it. */
+    /** A machine that failed abruptly and restarted at the same address has not closed its connections. */
     @Test
     void idleConnectionsAreClosedWhenTheUpstreamRestarts() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
