--- a/src/main/java/pondridge/sidecar/DiscoveryClient.java
+++ b/src/main/java/pondridge/sidecar/DiscoveryClient.java
@@ -34,23 +34,36 @@
 import pondridge.Balancer.UpstreamState;
 
 /**
- * Asks discovery for the list: a watch on its changes, or the whole once. Where changes are to come
- * unprompted, a watch is kept open from here; else the module decides when.
+ * HTTP client of the discovery service. It watches the upstream list for changes or fetches the whole list
+ * once. In automatic mode it keeps a watch open by itself and reconnects after a failure; otherwise the
+ * balancer starts each watch and fetch, and learns of each failure.
+ *
+ * <p>Used by {@link RequestDispatcher} on the event loop only, on which the listener is called, too.
  */
 final class DiscoveryClient {
-    /** A call waits for up to 2 s and empty lines come every 2 s: longer silence is a break. */
-    private static final long SILENCE_MS = 5_000;
+    /**
+     * Discovery takes up to 2 s to respond and sends an empty line every 2 s on a watch; a connection
+     * without data for longer counts as broken.
+     */
+    private static final long READ_TIMEOUT_MS = 5_000;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final int LONGEST_LINE = 4 << 20;
-    /** Between a broken watch and the next; discovery's agent is on this machine and answers at no cost. */
-    private static final long FIRST_WAIT_MS = 50;
-    private static final long LONGEST_WAIT_MS = 800;
+    private static final int MAX_LINE_BYTES = 4 << 20;
+    /**
+     * Delay before a failed watch is opened again, doubled after each failure. It can be this short because
+     * the discovery agent runs on the same machine and a call to it costs nothing.
+     */
+    private static final long MIN_RETRY_DELAY_MS = 50;
+    private static final long MAX_RETRY_DELAY_MS = 800;
 
-    /** One line of the list; names are still discovery's. */
-    record ListEntry(String uid, InetSocketAddress endpoint, String zone, String kind, int cell,
-            UpstreamState state, float weight, long startedMs) {
+    /**
+     * One upstream as discovery lists it, still with discovery's names of upstream, zone and model.
+     *
+     * @param startedAtMs wall-clock time of the upstream's last start in milliseconds, or 0 for long ago
+     */
+    record ListEntry(String uid, InetSocketAddress endpoint, String zone, String model, int cell,
+            UpstreamState state, float weight, long startedAtMs) {
 
-        /** An entry, or null where it can't be understood. */
+        /** Parses an entry; returns null and logs the entry if it is invalid. */
         private static ListEntry of(JsonNode node) {
             String uid = node.path("uid").asText("");
             UpstreamState state = switch (node.path("state").asText()) {
@@ -71,24 +84,27 @@
     }
 
     /**
-     * A list or a change of it; {@code unread} are the names of entries that can't be understood, an empty
-     * one if not even that can be read.
+     * The whole upstream list, or a change of it.
+     *
+     * @param invalidUids uids of the entries that could not be parsed; the empty string stands for an entry
+     *     whose uid could not be read either
      */
-    record UpstreamList(long rev, boolean all, List<ListEntry> targets, Set<String> unread) {
+    record UpstreamList(long revision, boolean full, List<ListEntry> entries, Set<String> invalidUids) {
         static final UpstreamList NONE = new UpstreamList(0, true, List.of(), Set.of());
 
         static UpstreamList of(JsonNode node) {
-            List<ListEntry> targets = new ArrayList<>();
-            Set<String> unread = new HashSet<>();
-            for (JsonNode each : node.path("targets")) {
-                ListEntry target = ListEntry.of(each);
-                if (target != null) {
-                    targets.add(target);
+            List<ListEntry> entries = new ArrayList<>();
+            Set<String> invalidUids = new HashSet<>();
+            for (JsonNode target : node.path("targets")) {
+                ListEntry entry = ListEntry.of(target);
+                if (entry != null) {
+                    entries.add(entry);
                 } else {
-                    unread.add(each.path("uid").asText(""));
+                    invalidUids.add(target.path("uid").asText(""));
                 }
             }
-            return new UpstreamList(node.path("rev").asLong(), node.path("all").asBoolean(), targets, unread);
+            return new UpstreamList(node.path("rev").asLong(), node.path("all").asBoolean(), entries,
+                    invalidUids);
         }
     }
 
@@ -96,106 +112,123 @@
     private final Dialer dialer;
     private InetSocketAddress address;
     private final BiConsumer<ListUpdateType, List<ListEntry>> listener;
-    private final Map<String, ListEntry> lastGood = new HashMap<>();
-    private long rev;
-    private Call watch;
-    private boolean following;
-    private long waitMs = FIRST_WAIT_MS;
+    /** The last valid entry of each listed upstream, by uid. */
+    private final Map<String, ListEntry> lastValidEntries = new HashMap<>();
+    private long revision;
+    /** The open watch, or null. */
+    private DiscoveryCall watch;
+    /** Whether a failed watch is opened again without a request of the balancer. */
+    private boolean keepWatchOpen;
+    private long retryDelayMs = MIN_RETRY_DELAY_MS;
 
-    /** Tells {@code listener}, on the loop, of each answer and each failure of what the module asked for. */
-    DiscoveryClient(EventLoop loop, InetSocketAddress address, UpstreamList known,
+    /**
+     * Creates a client that opens no connection yet.
+     *
+     * @param initialList the list from the configuration, which counts as the last one received
+     * @param listener called on the event loop with each list or change of it, and with
+     *     {@link ListUpdateType#FAILED} once for each call that failed and is not retried from here
+     */
+    DiscoveryClient(EventLoop loop, InetSocketAddress address, UpstreamList initialList,
             BiConsumer<ListUpdateType, List<ListEntry>> listener) {
         this.loop = loop;
         this.dialer = new Dialer(loop, CONNECT_TIMEOUT_MS);
         this.address = address;
-        this.rev = known.rev();
-        remember(known);
+        this.revision = initialList.revision();
+        applyUpdate(initialList);
         this.listener = listener;
     }
 
     /**
-     * What a list says. A whole list still names those of its entries that can't be understood: what was last
-     * understood of them holds, while those it does not name are gone. An entry without a name that can be
-     * read may be any of those: all are kept then.
+     * Takes over a list or a change of it, and returns the entries that the listener gets. For an invalid
+     * entry of a whole list, the last valid entry of the same uid stays in use; upstreams that a whole list
+     * does not mention are gone. If the uid of an invalid entry can't be read, it may be that of any upstream
+     * that seems to be missing, so that all of those are kept.
      */
-    private List<ListEntry> remember(UpstreamList listing) {
-        List<ListEntry> targets = new ArrayList<>(listing.targets());
-        if (listing.all()) {
-            Map<String, ListEntry> before = new HashMap<>(lastGood);
-            targets.forEach(target -> before.remove(target.uid()));
-            if (!listing.unread().contains("")) {
-                before.keySet().retainAll(listing.unread());
+    private List<ListEntry> applyUpdate(UpstreamList update) {
+        List<ListEntry> entries = new ArrayList<>(update.entries());
+        if (update.full()) {
+            Map<String, ListEntry> previous = new HashMap<>(lastValidEntries);
+            entries.forEach(entry -> previous.remove(entry.uid()));
+            if (!update.invalidUids().contains("")) {
+                previous.keySet().retainAll(update.invalidUids());
             }
-            targets.addAll(before.values());
-            lastGood.clear();
+            entries.addAll(previous.values());
+            lastValidEntries.clear();
         }
-        for (ListEntry target : targets) {
-            if (target.state() == UpstreamState.GONE) {
-                lastGood.remove(target.uid());
+        for (ListEntry entry : entries) {
+            if (entry.state() == UpstreamState.GONE) {
+                lastValidEntries.remove(entry.uid());
             } else {
-                lastGood.put(target.uid(), target);
+                lastValidEntries.put(entry.uid(), entry);
             }
         }
-        return targets;
+        return entries;
     }
 
-    /** Keeps a watch open from now on: the module is told of changes that it need not ask for. */
-    void follow() {
-        following = true;
+    /** Opens a watch and opens it again after each failure, without a request of the balancer. */
+    void keepWatchOpen() {
+        keepWatchOpen = true;
         watch(true);
     }
 
-    /** Follows changes from the last one known; a watch that is asked for again replaces the old one. */
-    void watch(boolean on) {
+    /** Closes the current watch, if any, and with {@code enabled} opens one from the last known revision. */
+    void watch(boolean enabled) {
         if (watch != null) {
             watch.close();
             watch = null;
         }
-        if (on) {
-            watch = new Call(true);
+        if (enabled) {
+            watch = new DiscoveryCall(true);
             watch.open();
         }
     }
 
-    /** Goes on at another address, from the last version known; an open watch ends, as if it had broken. */
-    void move(InetSocketAddress to) {
-        address = to;
-        waitMs = FIRST_WAIT_MS;
-        if (following) {
+    /**
+     * Uses another address from now on and keeps the last known revision. An open watch is opened again in
+     * automatic mode; otherwise it ends as a failed call.
+     */
+    void changeAddress(InetSocketAddress newAddress) {
+        address = newAddress;
+        retryDelayMs = MIN_RETRY_DELAY_MS;
+        if (keepWatchOpen) {
             watch(true);
         } else if (watch != null) {
             watch.fail();
         }
     }
 
-    /** Asks for the whole list once. */
+    /** Fetches the whole list once. */
     void fetch() {
-        new Call(false).open();
+        new DiscoveryCall(false).open();
     }
 
-    private final class Call extends SimpleChannelInboundHandler<HttpObject> implements Dialer.Listener {
-        private final boolean watching;
+    /** One HTTP call on a connection of its own: a watch, or a fetch of the whole list. */
+    private final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject>
+            implements Dialer.Listener {
+        private final boolean isWatch;
+        /** The bytes received of the current line. */
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
         private Dialer.Dial dial;
         private Channel channel;
-        private Future<?> silence;
-        private boolean answered;
-        private boolean over;
+        private Future<?> readTimeout;
+        /** Whether a list, a change or, on a watch, an empty line has been received. */
+        private boolean responded;
+        private boolean closed;
 
-        Call(boolean watching) {
-            this.watching = watching;
+        DiscoveryCall(boolean isWatch) {
+            this.isWatch = isWatch;
         }
 
         void open() {
-            heard();
+            restartReadTimeout();
             dial = dialer.dial(address, this);
         }
 
         @Override
-        public void connected(Channel made) {
-            channel = made;
-            made.pipeline().addLast(new HttpClientCodec(), this);
-            ask();
+        public void connected(Channel connectedChannel) {
+            channel = connectedChannel;
+            connectedChannel.pipeline().addLast(new HttpClientCodec(), this);
+            sendRequest();
         }
 
         @Override
@@ -203,8 +236,8 @@
             fail();
         }
 
-        private void ask() {
-            String path = "/discovery/hosts" + (watching ? "?watch=1&from=" + rev : "");
+        private void sendRequest() {
+            String path = "/discovery/hosts" + (isWatch ? "?watch=1&from=" + revision : "");
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                     path);
             request.headers().set(HttpHeaderNames.HOST,
@@ -212,16 +245,17 @@
             channel.writeAndFlush(request);
         }
 
-        private void heard() {
-            if (silence != null) {
-                silence.cancel(false);
+        private void restartReadTimeout() {
+            if (readTimeout != null) {
+                readTimeout.cancel(false);
             }
-            silence = loop.schedule(this::fail, SILENCE_MS, TimeUnit.MILLISECONDS);
+            readTimeout = loop.schedule(this::fail, READ_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
+        /** Ends the call without a report to the listener. */
         void close() {
-            over = true;
-            silence.cancel(false);
+            closed = true;
+            readTimeout.cancel(false);
             if (channel != null) {
                 channel.close();
             } else if (dial != null) {
@@ -229,56 +263,58 @@
             }
         }
 
+        /** Ends the call, unless it has ended, and opens the watch again or reports the failure. */
         private void fail() {
-            if (!over) {
+            if (!closed) {
                 close();
                 if (watch == this) {
                     watch = null;
                 }
-                if (watching && following) {
-                    followAgain();
+                if (isWatch && keepWatchOpen) {
+                    reopenWatchLater();
                 } else {
                     listener.accept(ListUpdateType.FAILED, List.of());
                 }
             }
         }
 
-        /** The list last known holds meanwhile; one line tells of a row of failures. */
-        private void followAgain() {
-            if (waitMs == FIRST_WAIT_MS) {
-                System.err.println("discovery: watch at " + address + " broken, rev " + rev + " holds");
+        /** The last known list stays in use meanwhile; of several failures in a row, the first is logged. */
+        private void reopenWatchLater() {
+            if (retryDelayMs == MIN_RETRY_DELAY_MS) {
+                System.err.println("discovery: watch at " + address + " broken, rev " + revision
+                        + " holds");
             }
             loop.schedule(() -> {
                 if (watch == null) {
                     watch(true);
                 }
-            }, waitMs, TimeUnit.MILLISECONDS);
-            waitMs = Math.min(2 * waitMs, LONGEST_WAIT_MS);
+            }, retryDelayMs, TimeUnit.MILLISECONDS);
+            retryDelayMs = Math.min(2 * retryDelayMs, MAX_RETRY_DELAY_MS);
         }
 
-        private void answered() {
-            answered = true;
-            waitMs = FIRST_WAIT_MS;
+        private void responseReceived() {
+            responded = true;
+            retryDelayMs = MIN_RETRY_DELAY_MS;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) throws IOException {
-            if (over) {
+            if (closed) {
                 return;
             }
-            heard();
+            restartReadTimeout();
             if (message.decoderResult().isFailure() || message instanceof HttpResponse response
                     && !response.status().equals(HttpResponseStatus.OK)) {
                 fail();
                 return;
             }
             if (message instanceof HttpContent content) {
-                take(content.content());
-                if (!over && message instanceof LastHttpContent) {
-                    if (!watching && line.size() > 0) {
-                        take();
+                readLines(content.content());
+                if (!closed && message instanceof LastHttpContent) {
+                    if (!isWatch && line.size() > 0) {
+                        parseLine();
                     }
-                    if (watching || !answered) {
+                    if (isWatch || !responded) {
                         fail();
                     } else {
                         close();
@@ -287,35 +323,35 @@
             }
         }
 
-        private void take(ByteBuf bytes) throws IOException {
-            while (bytes.isReadable() && !over) {
+        private void readLines(ByteBuf bytes) throws IOException {
+            while (bytes.isReadable() && !closed) {
                 byte next = bytes.readByte();
                 if (next != '\n') {
                     line.write(next);
-                    if (line.size() > LONGEST_LINE) {
+                    if (line.size() > MAX_LINE_BYTES) {
                         fail();
                     }
                 } else if (!line.toString(StandardCharsets.UTF_8).isBlank()) {
-                    take();
-                } else if (watching && !answered) {
-                    // Nothing has changed since the version known: that, too, is the watch's answer.
-                    answered();
+                    parseLine();
+                } else if (isWatch && !responded) {
+                    // An empty first line means that nothing has changed since the known revision.
+                    responseReceived();
                     listener.accept(ListUpdateType.DELTA, List.of());
                 }
             }
         }
 
-        private void take() throws IOException {
+        private void parseLine() throws IOException {
             JsonNode node = Config.JSON.readTree(line.toByteArray());
             line.reset();
             if (!node.path("rev").isIntegralNumber() || !node.path("targets").isArray()) {
                 fail();
                 return;
             }
-            UpstreamList listing = UpstreamList.of(node);
-            rev = listing.rev();
-            answered();
-            listener.accept(listing.all() ? ListUpdateType.FULL : ListUpdateType.DELTA, remember(listing));
+            UpstreamList update = UpstreamList.of(node);
+            revision = update.revision();
+            responseReceived();
+            listener.accept(update.full() ? ListUpdateType.FULL : ListUpdateType.DELTA, applyUpdate(update));
         }
 
         @Override
@@ -325,9 +361,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            String why = cause instanceof JsonProcessingException odd ? odd.getOriginalMessage()
-                    : cause.toString();
-            System.err.println("discovery: answer not read, rev " + rev + " holds: " + why);
+            String reason = cause instanceof JsonProcessingException invalidJson
+                    ? invalidJson.getOriginalMessage() : cause.toString();
+            System.err.println("discovery: answer not read, rev " + revision + " holds: " + reason);
             fail();
         }
     }
--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -146,9 +146,9 @@
     void start(DiscoveryClient.UpstreamList known) {
         readClocks();
         tell(rules::start);
-        listed(ListUpdateType.CACHED, known.targets());
+        listed(ListUpdateType.CACHED, known.entries());
         if (automatic) {
-            discoveryClient.follow();
+            discoveryClient.keepWatchOpen();
         }
         peerMessenger.listen(loop);
         loop.scheduleWithFixedDelay(this::logState, STATE_S, STATE_S, TimeUnit.SECONDS);
@@ -173,7 +173,7 @@
 
     /** Discovery is at another address from now on. */
     void discoveryMoved(InetSocketAddress address) {
-        discoveryClient.move(address);
+        discoveryClient.changeAddress(address);
     }
 
     /**
@@ -230,13 +230,13 @@
                 long id = id(target.uid());
                 missing.remove(id);
                 upstreamNames.put(id, target.uid());
-                entries.add(new Upstream(id, number(zones, target.zone()), number(kinds, target.kind()),
+                entries.add(new Upstream(id, number(zones, target.zone()), number(kinds, target.model()),
                         target.cell(), target.state(), target.weight(),
-                        startTimeConverter.startedAt(id, target.startedMs(), now)));
+                        startTimeConverter.startedAt(id, target.startedAtMs(), now)));
                 if (target.state() == UpstreamState.GONE) {
                     missing.add(id);
                 } else {
-                    upstreamClient.listed(id, target.endpoint(), target.startedMs(),
+                    upstreamClient.listed(id, target.endpoint(), target.startedAtMs(),
                             target.state() == UpstreamState.READY);
                 }
             }
--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/ConfigTest.java
@@ -24,7 +24,7 @@
         assertEquals(List.of("look", "hold", "book"), config.settingsReader().names("profiles"));
         assertEquals(List.of("acme"), config.settingsReader().names("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(41, config.known().rev());
+        assertEquals(41, config.known().revision());
     }
 
     /** Who runs it must see from one line what to mend. */
--- a/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -16,21 +16,22 @@
 import pondridge.Balancer.ListUpdateType;
 import pondridge.Balancer.UpstreamState;
 
-/** The list and its watch against a discovery that answers in awkward ways. */
+/** Runs the client against a fake discovery service that sends split, invalid and incomplete responses. */
 class DiscoveryClientTest {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String HALF_1 = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
-    private static final String HALF_2 = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
+    private static final String DELTA_START =
+            "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
+    private static final String DELTA_END = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
-    private record Told(ListUpdateType kind, List<DiscoveryClient.ListEntry> targets) { }
+    private record ListUpdate(ListUpdateType type, List<DiscoveryClient.ListEntry> entries) { }
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ListUpdate> updates = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -42,116 +43,118 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private DiscoveryClient discovery(FakeUpstream stub) {
-        DiscoveryClient.UpstreamList known = new DiscoveryClient.UpstreamList(41, true, List.of(), Set.of());
-        return new DiscoveryClient(loop, stub.address(), known,
-                (kind, targets) -> told.add(new Told(kind, targets)));
+    private DiscoveryClient clientOf(FakeUpstream server) {
+        DiscoveryClient.UpstreamList initialList =
+                new DiscoveryClient.UpstreamList(41, true, List.of(), Set.of());
+        return new DiscoveryClient(loop, server.address(), initialList,
+                (type, entries) -> updates.add(new ListUpdate(type, entries)));
     }
 
-    /** Lines come split over chunks and chunks hold several; an odd entry spoils none but itself. */
+    /** A line may span chunks and a chunk may hold several lines; an invalid entry is skipped alone. */
     @Test
-    void watchIsReadLineByLineAndItsEndIsAFailure() throws Exception {
-        try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
-            FakeUpstream.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
-            FakeUpstream.write(socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[]}\n"));
+    void watchIsParsedByLineAndItsEndIsReportedAsFailure() throws Exception {
+        try (FakeUpstream server = new FakeUpstream((socket, head) -> {
+            FakeUpstream.write(socket, CHUNKED + chunk("\n") + chunk(DELTA_START));
+            FakeUpstream.write(socket, chunk(DELTA_END + "{\"rev\":44,\"all\":true,\"targets\":[]}\n"));
             return false;
         })) {
-            DiscoveryClient discoveryClient = discovery(stub);
+            DiscoveryClient discoveryClient = clientOf(server);
             loop.execute(() -> discoveryClient.watch(true));
-            assertTrue(FakeUpstream.next(stub.heads)
+            assertTrue(FakeUpstream.next(server.heads)
                     .startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
-            assertEquals(new Told(ListUpdateType.DELTA, List.of()), FakeUpstream.next(told),
-                    "an empty line: no news");
-            Told delta = FakeUpstream.next(told);
-            assertEquals(ListUpdateType.DELTA, delta.kind);
+            assertEquals(new ListUpdate(ListUpdateType.DELTA, List.of()), FakeUpstream.next(updates),
+                    "an empty line means no change");
+            ListUpdate update = FakeUpstream.next(updates);
+            assertEquals(ListUpdateType.DELTA, update.type);
             assertEquals(List.of(UpstreamState.DRAINING),
-                    delta.targets.stream().map(DiscoveryClient.ListEntry::state).toList());
-            assertEquals(new Told(ListUpdateType.FULL, List.of()), FakeUpstream.next(told));
-            assertEquals(new Told(ListUpdateType.FAILED, List.of()), FakeUpstream.next(told));
+                    update.entries.stream().map(DiscoveryClient.ListEntry::state).toList());
+            assertEquals(new ListUpdate(ListUpdateType.FULL, List.of()), FakeUpstream.next(updates));
+            assertEquals(new ListUpdate(ListUpdateType.FAILED, List.of()), FakeUpstream.next(updates));
             loop.execute(() -> discoveryClient.watch(true));
-            assertTrue(FakeUpstream.next(stub.heads).contains("from=44 "), "goes on from the last version");
+            assertTrue(FakeUpstream.next(server.heads).contains("from=44 "),
+                    "resumes from the last revision");
         }
     }
 
-    /** Each call that fails is told of once, so that the module's waits between calls hold. */
+    /** The balancer waits between two calls; a failure reported twice would start two calls at once. */
     @Test
-    void everyFailureIsToldOnce() throws Exception {
-        for (String reply : List.of("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "", "nonsense\r\n\r\n",
+    void reportsEachFailedCallOnce() throws Exception {
+        for (String response : List.of("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "", "nonsense\r\n\r\n",
                 CHUNKED + chunk("{\"rev\":\n"), CHUNKED + chunk("[]\n"),
                 CHUNKED + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
-            try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
-                FakeUpstream.write(socket, reply);
+            try (FakeUpstream server = new FakeUpstream((socket, head) -> {
+                FakeUpstream.write(socket, response);
                 return false;
             })) {
-                DiscoveryClient discoveryClient = discovery(stub);
+                DiscoveryClient discoveryClient = clientOf(server);
                 loop.execute(() -> discoveryClient.watch(true));
-                assertEquals(ListUpdateType.FAILED, FakeUpstream.next(told).kind, reply);
+                assertEquals(ListUpdateType.FAILED, FakeUpstream.next(updates).type, response);
                 loop.execute(discoveryClient::fetch);
-                assertEquals(ListUpdateType.FAILED, FakeUpstream.next(told).kind, reply);
+                assertEquals(ListUpdateType.FAILED, FakeUpstream.next(updates).type, response);
                 loop.submit(() -> { }).sync();
-                assertEquals(0, told.size(), reply);
+                assertEquals(0, updates.size(), response);
             }
         }
     }
 
-    /** Of what a whole list names but garbles, the last good entry holds; what it does not name is gone. */
+    /** An upstream whose entry is invalid keeps its last valid entry; one that is not listed is removed. */
     @Test
-    void garbledEntryOfAWholeListKeepsItsLastGoodOne() throws Exception {
-        String good = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
+    void invalidEntryOfAWholeListKeepsTheLastValidEntry() throws Exception {
+        String valid = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
                 + SidecarHarness.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
-        String garbled = "{\"rev\":43,\"all\":true,\"targets\":["
+        String invalid = "{\"rev\":43,\"all\":true,\"targets\":["
                 + "{\"uid\":\"s-1\",\"state\":\"SERV\",\"endpoint\":7},{\"uid\":\"s-3\"}]}\n";
-        try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
-            FakeUpstream.write(socket, CHUNKED + chunk(good) + chunk(garbled) + chunk(garbled));
+        try (FakeUpstream server = new FakeUpstream((socket, head) -> {
+            FakeUpstream.write(socket, CHUNKED + chunk(valid) + chunk(invalid) + chunk(invalid));
             return true;
         })) {
-            DiscoveryClient discoveryClient = discovery(stub);
+            DiscoveryClient discoveryClient = clientOf(server);
             loop.execute(() -> discoveryClient.watch(true));
-            assertEquals(2, FakeUpstream.next(told).targets.size());
+            assertEquals(2, FakeUpstream.next(updates).entries.size());
             for (int i = 0; i < 2; i++) {
-                Told list = FakeUpstream.next(told);
-                assertEquals(ListUpdateType.FULL, list.kind);
-                assertEquals(List.of("s-1"), list.targets.stream().map(DiscoveryClient.ListEntry::uid)
+                ListUpdate update = FakeUpstream.next(updates);
+                assertEquals(ListUpdateType.FULL, update.type);
+                assertEquals(List.of("s-1"), update.entries.stream().map(DiscoveryClient.ListEntry::uid)
                         .toList());
-                assertEquals(UpstreamState.READY, list.targets.get(0).state());
+                assertEquals(UpstreamState.READY, update.entries.get(0).state());
             }
         }
     }
 
-    /** An entry whose very name is garbled may be any of those that a whole list seems to leave out. */
+    /** An entry without a readable uid may be that of any upstream that the whole list does not mention. */
     @Test
-    void entryWithoutANameTakesNoOtherUpstreamAway() throws Exception {
-        String good = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
+    void entryWithoutAUidRemovesNoUpstream() throws Exception {
+        String valid = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
                 + SidecarHarness.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
-        String garbled = "{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + ",5]}\n";
-        String whole = "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
-        try (FakeUpstream stub = new FakeUpstream((socket, head) -> {
-            FakeUpstream.write(socket, CHUNKED + chunk(good) + chunk(garbled) + chunk(whole));
+        String invalid = "{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + ",5]}\n";
+        String complete = "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
+        try (FakeUpstream server = new FakeUpstream((socket, head) -> {
+            FakeUpstream.write(socket, CHUNKED + chunk(valid) + chunk(invalid) + chunk(complete));
             return true;
         })) {
-            DiscoveryClient discoveryClient = discovery(stub);
+            DiscoveryClient discoveryClient = clientOf(server);
             loop.execute(() -> discoveryClient.watch(true));
-            assertEquals(2, FakeUpstream.next(told).targets.size());
-            assertEquals(List.of("s-1 DRAINING", "s-2 READY"), FakeUpstream.next(told).targets.stream()
-                    .map(target -> target.uid() + " " + target.state()).toList());
+            assertEquals(2, FakeUpstream.next(updates).entries.size());
+            assertEquals(List.of("s-1 DRAINING", "s-2 READY"), FakeUpstream.next(updates).entries.stream()
+                    .map(entry -> entry.uid() + " " + entry.state()).toList());
             assertEquals(List.of("s-1"),
-                    FakeUpstream.next(told).targets.stream().map(DiscoveryClient.ListEntry::uid).toList());
+                    FakeUpstream.next(updates).entries.stream().map(DiscoveryClient.ListEntry::uid).toList());
         }
     }
 
     @Test
     void wholeListIsFetchedOnce() throws Exception {
         String body = "{\"rev\":41,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (FakeUpstream stub = new FakeUpstream((socket, head) ->
+        try (FakeUpstream server = new FakeUpstream((socket, head) ->
                 FakeUpstream.reply(socket, "200 OK", "", body))) {
-            DiscoveryClient discoveryClient = discovery(stub);
+            DiscoveryClient discoveryClient = clientOf(server);
             loop.execute(discoveryClient::fetch);
-            assertTrue(FakeUpstream.next(stub.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
-            Told list = FakeUpstream.next(told);
-            assertEquals(ListUpdateType.FULL, list.kind);
-            assertEquals(9, list.targets.get(0).endpoint().getPort());
-            FakeUpstream.next(stub.ended);
-            assertEquals(0, told.size());
+            assertTrue(FakeUpstream.next(server.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
+            ListUpdate update = FakeUpstream.next(updates);
+            assertEquals(ListUpdateType.FULL, update.type);
+            assertEquals(9, update.entries.get(0).endpoint().getPort());
+            FakeUpstream.next(server.ended);
+            assertEquals(0, updates.size());
         }
     }
 }
