--- a/src/main/java/pondridge/sidecar/PeerMessenger.java
+++ b/src/main/java/pondridge/sidecar/PeerMessenger.java
@@ -17,38 +17,50 @@
 import java.util.concurrent.TimeUnit;
 import pondridge.Balancer.Actions;
 
-/** Messages to and from the other sidecars, as datagrams that may be late or lost. */
+/**
+ * Sends and receives peer messages as UDP datagrams, which may be late or lost. Used on the event loop only;
+ * the listener is called on it, too.
+ */
 final class PeerMessenger {
-    /** One byte more than a message may have, so that a longer one is seen to be. */
-    private static final int MOST_READ = 257;
-    private static final long RETRY_MS = 500;
+    /** One byte more than the largest allowed message, so that a larger one is recognised and dropped. */
+    private static final int RECEIVE_BUFFER_BYTES = 257;
+    private static final long RETRY_DELAY_MS = 500;
 
     /**
-     * Where they are: {@code listen} and {@code all} are null, and {@code each} is empty, in a deployment
-     * without such messages.
+     * The UDP addresses of the sidecars. In a deployment without peer messages, {@code listen} and
+     * {@code allPeers} are null and {@code peers} is empty.
+     *
+     * @param listen this sidecar's own address
+     * @param peers the address of each sidecar, this one included; the position is the sidecar's number
+     * @param allPeers the address that a message for all sidecars is sent to
      */
-    record Addresses(InetSocketAddress listen, List<InetSocketAddress> each, InetSocketAddress all) { }
+    record Addresses(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress allPeers) { }
 
-    /** Takes a message from the sidecar of that number. */
+    /** Receives the messages of the other sidecars. */
     interface Listener {
-        void heard(int from, byte[] message);
+        /** Called with the sender's number among the sidecars. */
+        void messageReceived(int peer, byte[] message);
     }
 
     private final Addresses addresses;
     private final Listener listener;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> indexByAddress = new HashMap<>();
     private Channel channel;
-    private long failures;
+    /** How often the socket could not be opened or bound, or was closed. */
+    private long socketFailures;
 
     PeerMessenger(Addresses addresses, Listener listener) {
         this.addresses = addresses;
         this.listener = listener;
-        for (int i = 0; i < addresses.each().size(); i++) {
-            numbers.put(addresses.each().get(i), i);
+        for (int i = 0; i < addresses.peers().size(); i++) {
+            indexByAddress.put(addresses.peers().get(i), i);
         }
     }
 
-    /** Nothing rests on these messages: until the socket can be had, the sidecar goes on alone. */
+    /**
+     * Opens the socket, if the deployment has peer messages, and opens it again after each failure. The
+     * sidecar works without these messages, so that a failure has no other effect.
+     */
     void listen(EventLoop loop) {
         if (addresses.listen() != null) {
             open(loop);
@@ -59,52 +71,54 @@
         try {
             channel = new NioDatagramChannel();
         } catch (ChannelException e) {
-            openAgain(loop, e);
+            openLater(loop, e);
             return;
         }
         Channel opened = channel;
-        opened.config().setRecvByteBufAllocator(new FixedRecvByteBufAllocator(MOST_READ));
-        opened.pipeline().addLast(new Inbound());
+        opened.config().setRecvByteBufAllocator(new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES));
+        opened.pipeline().addLast(new DatagramHandler());
         loop.register(opened);
         opened.bind(addresses.listen()).addListener(bound -> {
             if (bound.isSuccess()) {
-                opened.closeFuture().addListener(closed -> openAgain(loop, closed.cause()));
+                opened.closeFuture().addListener(closed -> openLater(loop, closed.cause()));
             } else {
                 opened.close();
-                openAgain(loop, bound.cause());
+                openLater(loop, bound.cause());
             }
         });
     }
 
-    private void openAgain(EventLoop loop, Throwable cause) {
-        failures++;
-        if (Long.bitCount(failures) == 1) {
-            System.err.println("peers: no socket, " + failures + " times so far: " + cause);
+    private void openLater(EventLoop loop, Throwable cause) {
+        socketFailures++;
+        if (Long.bitCount(socketFailures) == 1) {
+            System.err.println("peers: socket failed, " + socketFailures + " times so far: " + cause);
         }
         if (!loop.isShuttingDown()) {
-            loop.schedule(() -> open(loop), RETRY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> open(loop), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
+    /** Sends to one sidecar, or to all; a message is dropped while the socket is not open. */
     void send(int peer, byte[] message) {
-        InetSocketAddress to = peer != Actions.ALL_PEERS ? addresses.each().get(peer) : addresses.all();
-        if (channel != null && channel.isActive() && to != null) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
+        InetSocketAddress address = peer != Actions.ALL_PEERS ? addresses.peers().get(peer)
+                : addresses.allPeers();
+        if (channel != null && channel.isActive() && address != null) {
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), address));
         }
     }
 
-    private final class Inbound extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            Integer from = numbers.get(packet.sender());
-            if (from != null && packet.content().readableBytes() < MOST_READ) {
-                listener.heard(from, ByteBufUtil.getBytes(packet.content()));
+            Integer peer = indexByAddress.get(packet.sender());
+            if (peer != null && packet.content().readableBytes() < RECEIVE_BUFFER_BYTES) {
+                listener.messageReceived(peer, ByteBufUtil.getBytes(packet.content()));
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A datagram that could not be sent or read is one of those that are lost.
+            // A datagram that could not be sent or read counts as lost.
         }
     }
 }
--- a/src/test/java/pondridge/sidecar/PeerMessengerTest.java
+++ b/src/test/java/pondridge/sidecar/PeerMessengerTest.java
@@ -19,18 +19,18 @@
 import org.junit.jupiter.api.Timeout;
 import pondridge.Balancer.Actions;
 
-/** Messages between sidecars on real sockets. */
+/** Sends and receives peer messages on real sockets. */
 @Timeout(FakeUpstream.LIMIT_S)
 class PeerMessengerTest {
-    private record Heard(int from, byte[] message) { }
+    private record Received(int from, byte[] message) { }
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Received> received = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -45,50 +45,53 @@
     }
 
     @Test
-    void messagesGoToAllAndComeFromKnownSidecarsAlone() throws Exception {
+    void sendsToAllPeersAndReceivesFromKnownPeersOnly() throws Exception {
         try (DatagramSocket all = socket(); DatagramSocket first = socket(); DatagramSocket third = socket();
-                DatagramSocket stranger = socket()) {
+                DatagramSocket unknown = socket()) {
             InetSocketAddress listen;
             try (DatagramSocket free = socket()) {
                 listen = address(free);
             }
             PeerMessenger peerMessenger = new PeerMessenger(new PeerMessenger.Addresses(listen,
                     List.of(address(first), listen, address(third)), address(all)),
-                    (from, message) -> heard.add(new Heard(from, message)));
+                    (from, message) -> received.add(new Received(from, message)));
             loop.submit(() -> peerMessenger.listen(loop)).sync();
             loop.submit(() -> peerMessenger.send(Actions.ALL_PEERS, new byte[] {1, 2, 3, 4})).sync();
             DatagramPacket packet = new DatagramPacket(new byte[300], 300);
             all.receive(packet);
             assertEquals(4, packet.getLength());
             assertEquals(listen, packet.getSocketAddress());
-            stranger.send(new DatagramPacket(new byte[] {9}, 1, listen));
+            unknown.send(new DatagramPacket(new byte[] {9}, 1, listen));
             third.send(new DatagramPacket(new byte[300], 300, listen));
             third.send(new DatagramPacket(new byte[] {5, 6}, 2, listen));
-            Heard one = FakeUpstream.next(heard);
-            assertEquals(2, one.from);
-            assertArrayEquals(new byte[] {5, 6}, one.message);
-            assertEquals(0, heard.size());
+            Received only = FakeUpstream.next(received);
+            assertEquals(2, only.from);
+            assertArrayEquals(new byte[] {5, 6}, only.message);
+            assertEquals(0, received.size());
         }
     }
 
-    /** A sidecar whose peer address was taken for a moment at its start never heard its peers. */
+    /**
+     * If another process holds the address when the sidecar starts, the bind fails; without a retry the
+     * sidecar would never receive a peer message.
+     */
     @Test
-    void peersWereNeverHeardWhenTheAddressWasTakenAtTheStart() throws Exception {
+    void receivesMessagesAfterItsAddressWasInUseAtStart() throws Exception {
         try (DatagramSocket peer = socket()) {
             InetSocketAddress listen;
             try (DatagramSocket taken = socket()) {
                 listen = address(taken);
                 PeerMessenger peerMessenger = new PeerMessenger(
                         new PeerMessenger.Addresses(listen, List.of(address(peer), listen), null),
-                        (from, message) -> heard.add(new Heard(from, message)));
+                        (from, message) -> received.add(new Received(from, message)));
                 loop.submit(() -> peerMessenger.listen(loop)).sync();
                 loop.submit(() -> { }).sync();
             }
-            while (heard.isEmpty()) {
+            while (received.isEmpty()) {
                 peer.send(new DatagramPacket(new byte[] {7}, 1, listen));
                 Thread.sleep(20);
             }
-            assertArrayEquals(new byte[] {7}, FakeUpstream.next(heard).message);
+            assertArrayEquals(new byte[] {7}, FakeUpstream.next(received).message);
         }
     }
 }
