--- a/src/main/java/pondridge/sidecar/ConfigReloader.java
+++ b/src/main/java/pondridge/sidecar/ConfigReloader.java
@@ -6,37 +6,40 @@
 import java.nio.file.Path;
 
 /**
- * What SIGHUP does: of a new configuration the address of discovery is taken over, the rest holds until a
- * restart. One that can't be understood changes nothing; one that can't be opened is tried again for a while,
- * since that may be this machine's trouble.
+ * Reads the configuration file again at SIGHUP. Only the address of discovery is taken over; all other
+ * settings keep their values until a restart. An invalid configuration changes nothing. A file that can't be
+ * read is tried again for a limited time, since the cause may be a temporary error of this machine.
  */
 final class ConfigReloader implements Runnable {
-    /** Whatever discovery has to tell counts as told 4 s after the signal (TERMS). */
-    private static final long LONGEST_TRY_MS = 3_000;
+    /** The platform expects a sidecar to have the list of the new address 4 s after the signal. */
+    private static final long MAX_RETRY_MS = 3_000;
 
     private final EventLoop loop;
-    private final Path file;
+    private final Path configFile;
     private final RequestDispatcher dispatcher;
 
-    ConfigReloader(EventLoop loop, Path file, RequestDispatcher dispatcher) {
+    ConfigReloader(EventLoop loop, Path configFile, RequestDispatcher dispatcher) {
         this.loop = loop;
-        this.file = file;
+        this.configFile = configFile;
         this.dispatcher = dispatcher;
     }
 
-    /** Signals in a row are handled one after the other, so that the file read last counts. */
+    /**
+     * Runs on a thread of the JVM, where it may block, and passes the new address on to the event loop. Calls
+     * are serialised, so that the file that was read last takes effect.
+     */
     @Override
     public synchronized void run() {
         try {
             InetSocketAddress discovery =
-                    IoRetry.whileInputFails(LONGEST_TRY_MS, () -> Config.read(file)).discovery();
+                    IoRetry.whileInputFails(MAX_RETRY_MS, () -> Config.read(configFile)).discovery();
             System.err.println("pondridge: configuration read again, discovery at " + discovery);
             loop.execute(() -> dispatcher.discoveryMoved(discovery));
         } catch (RuntimeException | IOException e) {
             System.err.println("pondridge: configuration not taken over, the last one holds: "
                     + e.getMessage());
         } catch (InternalError e) {
-            // The loop could not be woken. The task is in its queue, and its timers wake it soon.
+            // The loop could not be woken up. The task is queued and runs when a timer of the loop is due.
             System.err.println("reload: " + e);
         }
     }
