--- a/src/main/java/pondridge/sidecar/StartTimeConverter.java
+++ b/src/main/java/pondridge/sidecar/StartTimeConverter.java
@@ -7,72 +7,84 @@
 import java.util.Map;
 
 /**
- * Turns the list's start times, which are wall-clock times, into times of the sidecar's own clock, which
- * never steps. The wall clock may have stepped between a start and its telling, here or where the list is
- * made: of all offsets between the two clocks that were seen, the one counts that makes the upstream
- * youngest, since one taken for cold too long costs less than one that is flooded.
+ * Converts the start times of upstreams, which the list gives in wall-clock time, to the sidecar's monotonic
+ * clock. The wall clock may have been stepped, here or at discovery, between an upstream's start and the
+ * arrival of the list. Each offset seen between the two clocks is remembered, and the one that gives the
+ * latest start time is used: treating a warm upstream as cold for too long costs less than overloading a cold
+ * one. Used on the event loop only.
  */
 final class StartTimeConverter {
     private static final long NANOS_PER_MS = 1_000_000;
-    /** Differences up to this are the reading's own, not a step. */
-    private static final long STEP_NS = 200 * NANOS_PER_MS;
-    /** So far ahead of now a start may seem, by rounding and delays, and still be one of just now. */
-    private static final long AHEAD_NS = 1_000 * NANOS_PER_MS;
-    private static final int MOST_OFFSETS = 64;
+    /** A smaller change of the offset comes from reading the two clocks at different times. */
+    private static final long MIN_STEP_NANOS = 200 * NANOS_PER_MS;
+    /** A start time up to this far ahead of now is explained by rounding and delays, and counts as now. */
+    private static final long MAX_AHEAD_NANOS = 1_000 * NANOS_PER_MS;
+    private static final int MAX_OFFSETS = 64;
 
-    private record Start(long bootMs, long at) { }
+    private record KnownStart(long startedAtWallMs, long startedAtNanos) { }
 
+    /** Wall-clock time minus monotonic time in nanoseconds; the oldest first. */
     private final List<Long> offsets = new ArrayList<>();
-    private final Map<Long, Start> starts = new HashMap<>();
+    /** The last start of each upstream, by its id. */
+    private final Map<Long, KnownStart> starts = new HashMap<>();
 
-    /** Takes one reading of both clocks; often enough, so that no offset is missed. */
+    /**
+     * Remembers the offset between the two clocks, and logs a step to a new one. Has to be called so often
+     * that no offset is missed.
+     *
+     * @param now monotonic time in nanoseconds
+     * @param wallMs wall-clock time in milliseconds
+     */
     void observe(long now, long wallMs) {
         long offset = wallMs * NANOS_PER_MS - now;
-        if (offsets.stream().anyMatch(seen -> Math.abs(seen - offset) <= STEP_NS)) {
+        if (offsets.stream().anyMatch(known -> Math.abs(known - offset) <= MIN_STEP_NANOS)) {
             return;
         }
         if (!offsets.isEmpty()) {
             System.err.println("clock: stepped by "
                     + (offset - offsets.get(offsets.size() - 1)) / NANOS_PER_MS + " ms");
         }
-        if (offsets.size() == MOST_OFFSETS) {
+        if (offsets.size() == MAX_OFFSETS) {
             offsets.remove(0);
         }
         offsets.add(offset);
     }
 
     /**
-     * When an upstream started, on the sidecar's clock; 0 for long ago. The same start gives the same time,
-     * and a later start a later one, whatever the wall clock did in between.
+     * Returns when an upstream started, in nanoseconds of the monotonic clock, or 0 for long ago. The result
+     * for one start stays the same, and that for a later start of the same upstream is later, even if the
+     * wall clock was stepped in between.
+     *
+     * @param startedAtWallMs wall-clock time of the start in milliseconds, or 0 for long ago
      */
-    long startedAt(long upstream, long bootMs, long now) {
-        if (bootMs == 0) {
+    long startedAt(long upstream, long startedAtWallMs, long now) {
+        if (startedAtWallMs == 0) {
             return 0;
         }
-        Start known = starts.get(upstream);
-        if (known != null && known.bootMs() == bootMs) {
-            return known.at();
+        KnownStart known = starts.get(upstream);
+        if (known != null && known.startedAtWallMs() == startedAtWallMs) {
+            return known.startedAtNanos();
         }
-        long at = youngest(bootMs, now);
+        long startedAtNanos = latestPossibleStart(startedAtWallMs, now);
         if (known != null) {
-            at = Math.max(at, known.at() + 1);
+            startedAtNanos = Math.max(startedAtNanos, known.startedAtNanos() + 1);
         }
-        starts.put(upstream, new Start(bootMs, at));
-        return at;
+        starts.put(upstream, new KnownStart(startedAtWallMs, startedAtNanos));
+        return startedAtNanos;
     }
 
-    private long youngest(long bootMs, long now) {
-        long youngest = Long.MIN_VALUE;
+    private long latestPossibleStart(long startedAtWallMs, long now) {
+        long latest = Long.MIN_VALUE;
         for (long offset : offsets) {
-            long at = bootMs * NANOS_PER_MS - offset;
-            if (at <= now + AHEAD_NS) {
-                youngest = Math.max(youngest, Math.min(at, now));
+            long startedAtNanos = startedAtWallMs * NANOS_PER_MS - offset;
+            if (startedAtNanos <= now + MAX_AHEAD_NANOS) {
+                latest = Math.max(latest, Math.min(startedAtNanos, now));
             }
         }
-        return youngest == Long.MIN_VALUE ? now : youngest;
+        return latest == Long.MIN_VALUE ? now : latest;
     }
 
-    /** Keeps nothing of upstreams that have left the list. */
+    /** Removes what is known of upstreams that have left the list. */
     void forget(Collection<Long> upstreams) {
         starts.keySet().removeAll(upstreams);
     }
--- a/src/test/java/pondridge/sidecar/StartTimeConverterTest.java
+++ b/src/test/java/pondridge/sidecar/StartTimeConverterTest.java
@@ -11,36 +11,39 @@
     private static final long HOUR_MS = 3_600_000;
     private static final long WALL_MS = 1_700_000_000_000L;
     private static final long NOW = 1_000_000 * SECOND;
-    private final StartTimeConverter times = new StartTimeConverter();
+    private final StartTimeConverter converter = new StartTimeConverter();
 
     @Test
-    void withoutAStepTheAgeIsTheWallClocks() {
-        times.observe(NOW, WALL_MS);
-        assertEquals(NOW - 7 * SECOND, times.startedAt(1, WALL_MS - 7_000, NOW));
-        assertEquals(0, times.startedAt(2, 0, NOW));
+    void withoutAClockStepTheAgeIsThatOfTheWallClock() {
+        converter.observe(NOW, WALL_MS);
+        assertEquals(NOW - 7 * SECOND, converter.startedAt(1, WALL_MS - 7_000, NOW));
+        assertEquals(0, converter.startedAt(2, 0, NOW));
     }
 
-    /** A cold upstream was taken for warm, or stayed cold for an hour, behind a step of the wall clock. */
+    /**
+     * After a step of the wall clock by an hour, an upstream that had just started was treated as warm, or
+     * stayed cold for an hour.
+     */
     @Test
-    void aStepMadeAColdUpstreamWarmOrAWarmOneCold() {
+    void startsNearAClockStepCountAsRecentButNotAsFuture() {
         for (long step : new long[] {HOUR_MS, -HOUR_MS, 5_000, -5_000}) {
             StartTimeConverter stepped = new StartTimeConverter();
             stepped.observe(NOW, WALL_MS);
             long later = NOW + 10 * SECOND;
             stepped.observe(later, WALL_MS + 10_000 + step);
             long startedBefore = stepped.startedAt(1, WALL_MS + 8_000, later);
-            long startedBehind = stepped.startedAt(2, WALL_MS + 9_000 + step, later);
+            long startedAfter = stepped.startedAt(2, WALL_MS + 9_000 + step, later);
             assertTrue(later - startedBefore <= 2 * SECOND && startedBefore <= later, "before " + step);
-            assertTrue(later - startedBehind <= SECOND && startedBehind <= later, "behind " + step);
+            assertTrue(later - startedAfter <= SECOND && startedAfter <= later, "after " + step);
         }
     }
 
     @Test
-    void aRestartBehindAStepBackIsALaterStart() {
-        times.observe(NOW, WALL_MS);
-        long first = times.startedAt(1, WALL_MS, NOW);
-        assertEquals(first, times.startedAt(1, WALL_MS, NOW + SECOND), "the same start");
-        times.observe(NOW + SECOND, WALL_MS + 1_000 - HOUR_MS);
-        assertTrue(times.startedAt(1, WALL_MS + 900 - HOUR_MS, NOW + SECOND) > first);
+    void aRestartAfterABackwardStepIsALaterStart() {
+        converter.observe(NOW, WALL_MS);
+        long first = converter.startedAt(1, WALL_MS, NOW);
+        assertEquals(first, converter.startedAt(1, WALL_MS, NOW + SECOND), "the same start");
+        converter.observe(NOW + SECOND, WALL_MS + 1_000 - HOUR_MS);
+        assertTrue(converter.startedAt(1, WALL_MS + 900 - HOUR_MS, NOW + SECOND) > first);
     }
 }
