--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -144,7 +144,7 @@
         read++;
         // Whatever the first read brings may have been there while the connection was not accepted.
         long now = System.nanoTime();
-        long unread = frontend.times().unread(now);
+        long unread = frontend.times().maxUnreadNanos(now);
         long waited = Math.max(readBefore ? 0 : unaccepted, unread < SHORT_NS ? 0 : unread);
         if (!busy && queue.isEmpty() && channel.isWritable()) {
             // Taken once all that is there has been read: the client's close may lie behind the request.
--- a/src/main/java/pondridge/sidecar/EventLoopMonitor.java
+++ b/src/main/java/pondridge/sidecar/EventLoopMonitor.java
@@ -11,135 +11,145 @@
 import java.nio.channels.SelectableChannel;
 
 /**
- * Tells for how long bytes may have lain unread because the event loop was busy: a client's time runs from
- * its sending, not from the reading. Wraps the loop's selector to see when a turn begins and ends.
+ * Measures for how long received bytes may have been unread because the event loop was busy. A client's
+ * deadline runs from the time at which it sent the request, not from the time at which the sidecar read it.
+ * The monitor wraps the loop's I/O handler to see when it polls the sockets; one call of
+ * {@link IoHandler#run} is a poll. Used on the event loop only.
  */
 final class EventLoopMonitor {
-    /** A turn that took longer than this to its first event has waited for it in the selector. */
-    private static final long BLOCKED_NS = 1_000_000;
+    /** If the first event of a poll comes later than this, the selector has waited for it. */
+    private static final long MIN_SELECT_WAIT_NANOS = 1_000_000;
 
-    private long turnBeganAt;
-    private long polledAt;
-    private long previouslyPolledAt;
+    private long pollStartedAt;
+    /**
+     * Time of the current poll's first event, or of its end if it had none; before that, still the value of
+     * the previous poll.
+     */
+    private long selectReturnedAt;
+    /** Value of {@link #selectReturnedAt} at the end of the previous poll; 0 in the first poll. */
+    private long previousSelectReturnedAt;
+    /** Whether the current poll has had an event. */
     private boolean eventSeen;
 
-    /** A factory whose selectors report their turns here. */
-    IoHandlerFactory watching(IoHandlerFactory factory) {
-        return executor -> new WatchedHandler(factory.newHandler(executor));
+    /** Returns a factory whose I/O handlers report their polls to this monitor. */
+    IoHandlerFactory monitor(IoHandlerFactory factory) {
+        return executor -> new MonitoredHandler(factory.newHandler(executor));
     }
 
-    private void turnBegins(long now) {
-        turnBeganAt = now;
-        previouslyPolledAt = polledAt;
+    private void pollStarted(long now) {
+        pollStartedAt = now;
+        previousSelectReturnedAt = selectReturnedAt;
         eventSeen = false;
     }
 
-    private void event() {
+    private void eventReceived() {
         if (!eventSeen) {
             eventSeen = true;
-            polledAt = System.nanoTime();
+            selectReturnedAt = System.nanoTime();
         }
     }
 
-    private void turnEnds(long now) {
+    private void pollEnded(long now) {
         if (!eventSeen) {
-            polledAt = now;
+            selectReturnedAt = now;
         }
     }
 
     /**
-     * How many nanoseconds what is read now may have lain unread. While the loop waited in its selector
-     * nothing was there, so that only this turn's own work counts then.
+     * Returns for how many nanoseconds at most the bytes that are read now have been unread. If the selector
+     * waited in this poll, no socket had data before it returned, and only the time since then counts.
+     * Otherwise, the bytes may have arrived at any time since the selector returned in the previous poll.
      */
-    long unread(long now) {
-        boolean blocked = polledAt - turnBeganAt > BLOCKED_NS || previouslyPolledAt == 0;
-        return now - (blocked ? polledAt : previouslyPolledAt);
+    long maxUnreadNanos(long now) {
+        boolean waited = selectReturnedAt - pollStartedAt > MIN_SELECT_WAIT_NANOS
+                || previousSelectReturnedAt == 0;
+        return now - (waited ? selectReturnedAt : previousSelectReturnedAt);
     }
 
-    private final class WatchedHandle implements NioIoHandle {
-        private final NioIoHandle watched;
+    private final class MonitoredHandle implements NioIoHandle {
+        private final NioIoHandle delegate;
 
-        WatchedHandle(NioIoHandle watched) {
-            this.watched = watched;
+        MonitoredHandle(NioIoHandle delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public SelectableChannel selectableChannel() {
-            return watched.selectableChannel();
+            return delegate.selectableChannel();
         }
 
         @Override
-        public void handle(IoRegistration registration, IoEvent ready) {
-            event();
-            watched.handle(registration, ready);
+        public void handle(IoRegistration registration, IoEvent event) {
+            eventReceived();
+            delegate.handle(registration, event);
         }
 
         @Override
         public void registered() {
-            watched.registered();
+            delegate.registered();
         }
 
         @Override
         public void unregistered() {
-            watched.unregistered();
+            delegate.unregistered();
         }
 
         @Override
         public void close() throws IOException {
             try {
-                watched.close();
+                delegate.close();
             } catch (Exception e) {
                 throw new IOException(e);
             }
         }
     }
 
-    private final class WatchedHandler implements IoHandler {
-        private final IoHandler watched;
+    private final class MonitoredHandler implements IoHandler {
+        private final IoHandler delegate;
 
-        WatchedHandler(IoHandler watched) {
-            this.watched = watched;
+        MonitoredHandler(IoHandler delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void initialize() {
-            watched.initialize();
+            delegate.initialize();
         }
 
         @Override
         public int run(IoHandlerContext context) {
-            turnBegins(System.nanoTime());
+            pollStarted(System.nanoTime());
             try {
-                return watched.run(context);
+                return delegate.run(context);
             } finally {
-                turnEnds(System.nanoTime());
+                pollEnded(System.nanoTime());
             }
         }
 
         @Override
         public void prepareToDestroy() {
-            watched.prepareToDestroy();
+            delegate.prepareToDestroy();
         }
 
         @Override
         public void destroy() {
-            watched.destroy();
+            delegate.destroy();
         }
 
         @Override
         public IoRegistration register(IoHandle handle) throws Exception {
-            boolean watchable = handle instanceof NioIoHandle;
-            return watched.register(watchable ? new WatchedHandle((NioIoHandle) handle) : handle);
+            boolean isNioHandle = handle instanceof NioIoHandle;
+            return delegate.register(isNioHandle ? new MonitoredHandle((NioIoHandle) handle) : handle);
         }
 
         @Override
         public void wakeup() {
-            watched.wakeup();
+            delegate.wakeup();
         }
 
         @Override
         public boolean isCompatible(Class<? extends IoHandle> type) {
-            return watched.isCompatible(type);
+            return delegate.isCompatible(type);
         }
     }
 }
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -57,7 +57,8 @@
         }
         RequestDecoder decoder = new RequestDecoder();
         ClientConnection connection = new ClientConnection(this, dispatcher, made, decoder,
-                connections.size() >= mostConnections, Math.max(waited, times.unread(System.nanoTime())));
+                connections.size() >= mostConnections,
+                Math.max(waited, times.maxUnreadNanos(System.nanoTime())));
         made.pipeline().addLast(decoder, new HttpResponseEncoder(), new RequestAggregator(), connection);
         return true;
     }
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -42,7 +42,7 @@
             return;
         }
         EventLoopMonitor times = new EventLoopMonitor();
-        EventLoop loop = new MultiThreadIoEventLoopGroup(1, times.watching(NioIoHandler.newFactory())).next();
+        EventLoop loop = new MultiThreadIoEventLoopGroup(1, times.monitor(NioIoHandler.newFactory())).next();
         boolean rehearsal = args.length == 1 && args[0].equals("rehearse");
         loop.execute(() -> {
             try {
