--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -163,8 +163,8 @@
     private void logState() {
         long now = now();
         System.err.println("state: " + held() + " requests open, " + upstreamClient.open()
-                + " connections to upstreams, stalls up to " + stalls.recent(now) / 1_000_000 + " ms; guard: "
-                + guard + "; " + rules.describeState(now));
+                + " connections to upstreams, stalls up to " + stalls.estimateNanos(now) / 1_000_000
+                + " ms; guard: " + guard + "; " + rules.describeState(now));
     }
 
     LifecycleGuard guard() {
@@ -269,8 +269,8 @@
         calls.put(id, call);
         // The client's time has run since it sent: a stall may have kept the request unread, and another
         // may hold up the answer.
-        long reserve = Math.min(2 * stalls.recent(call.takenAt), left / MOST_KEPT);
-        loop.execute(() -> stalls.lasted(now(), now() - call.takenAt));
+        long reserve = Math.min(2 * stalls.estimateNanos(call.takenAt), left / MOST_KEPT);
+        loop.execute(() -> stalls.stallEnded(now(), now() - call.takenAt));
         // The module answers by its own deadline; this holds for whatever it may have missed.
         loop.schedule(() -> giveUp(id, call, "OVERDUE"), left - reserve + ANSWER_ROOM / 2,
                 TimeUnit.NANOSECONDS);
--- a/src/main/java/pondridge/sidecar/StallEstimator.java
+++ b/src/main/java/pondridge/sidecar/StallEstimator.java
@@ -1,30 +1,33 @@
 package pondridge.sidecar;
 
 /**
- * How long the loop has lately been busy in one go: as long may bytes have lain unread, or answers unwritten.
+ * Estimates how long the event loop may stall, from its recent stalls. During a stall, received requests are
+ * not read and responses are not written. Used on the event loop only.
  */
 final class StallEstimator {
-    /** A program just started is still being compiled: first requests meet stalls that none has shown yet. */
-    private static final long FIRST = 50_000_000;
-    /** A stall counts by half after this time. */
-    private static final double HALF = 2e9;
+    /** Estimate at start: just-in-time compilation stalls the first requests, and no stall was seen yet. */
+    private static final long INITIAL_STALL_NANOS = 50_000_000;
+    /** After this time, a stall counts half. */
+    private static final double HALF_LIFE_NANOS = 2e9;
 
-    private long worst = FIRST;
-    private long at;
+    /** The stall that the estimate rests on, not decayed. */
+    private long longestNanos = INITIAL_STALL_NANOS;
+    /** When that stall ended; 0 before the first call. */
+    private long longestAt;
 
-    /** One stretch of work without a look at the sockets has ended. */
-    void lasted(long now, long time) {
-        if (time >= recent(now)) {
-            worst = time;
-            at = now;
+    /** Records a stall, a period of work during which the sockets were not polled. */
+    void stallEnded(long now, long durationNanos) {
+        if (durationNanos >= estimateNanos(now)) {
+            longestNanos = durationNanos;
+            longestAt = now;
         }
     }
 
-    /** The worst of late; older ones count less. */
-    long recent(long now) {
-        if (at == 0) {
-            at = now;
+    /** Returns the longest recent stall in nanoseconds; older stalls count less. */
+    long estimateNanos(long now) {
+        if (longestAt == 0) {
+            longestAt = now;
         }
-        return (long) (worst * Math.pow(0.5, (now - at) / HALF));
+        return (long) (longestNanos * Math.pow(0.5, (now - longestAt) / HALF_LIFE_NANOS));
     }
 }
--- a/src/test/java/pondridge/sidecar/StallEstimatorTest.java
+++ b/src/test/java/pondridge/sidecar/StallEstimatorTest.java
@@ -9,14 +9,15 @@
     private static final long MS = 1_000_000;
 
     @Test
-    void theWorstStallCountsUntilItIsLongAgo() {
-        StallEstimator stalls = new StallEstimator();
+    void theLongestStallCountsUntilItHasDecayed() {
+        StallEstimator estimator = new StallEstimator();
         long now = 5_000 * MS;
-        assertTrue(stalls.recent(now) >= 10 * MS, "a program just started is expected to stall");
-        stalls.lasted(now, 200 * MS);
-        stalls.lasted(now + MS, 2 * MS);
-        assertTrue(stalls.recent(now + MS) > 190 * MS, "short stretches do not hide it");
-        stalls.lasted(now + 60_000 * MS, 3 * MS);
-        assertEquals(3 * MS, stalls.recent(now + 60_000 * MS), "a minute later it is forgotten");
+        assertTrue(estimator.estimateNanos(now) >= 10 * MS,
+                "a program that has just started is expected to stall");
+        estimator.stallEnded(now, 200 * MS);
+        estimator.stallEnded(now + MS, 2 * MS);
+        assertTrue(estimator.estimateNanos(now + MS) > 190 * MS, "shorter stalls do not replace it");
+        estimator.stallEnded(now + 60_000 * MS, 3 * MS);
+        assertEquals(3 * MS, estimator.estimateNanos(now + 60_000 * MS), "after a minute it has decayed");
     }
 }
