--- a/src/main/java/pondridge/sidecar/FailedRequestLog.java
+++ b/src/main/java/pondridge/sidecar/FailedRequestLog.java
@@ -6,21 +6,23 @@
 import pondridge.Balancer.Outcome;
 
 /**
- * One line in the log for each request that ended badly, by its id. In trouble these are most requests: so
- * many lines a second are written and no more, and the next one says how many were left out.
+ * Logs a line, with the request's id, for each request that ended without a successful response. During an
+ * outage these may be most requests, so that the number of lines per second is limited; the next line says
+ * how many were omitted. Used on the event loop only.
  */
 final class FailedRequestLog {
-    private static final int MOST_A_SECOND = 20;
-    private static final long SECOND = 1_000_000_000;
-    private static final long MS = 1_000_000;
-    private static final int LONGEST_WORD = 64;
+    private static final int MAX_LINES_PER_SECOND = 20;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final int MAX_TEXT_CHARS = 64;
 
-    /** One attempt, told to operators by the name that every sidecar has for the upstream. */
+    /** One attempt as the log shows it; the upstream is named by its uid, the same in all sidecars. */
     static final class AttemptLogEntry {
         private final String upstream;
         private final long sentAt;
+        /** Null while the attempt has not ended. */
         private Outcome outcome;
-        private long took;
+        private long durationNanos;
 
         AttemptLogEntry(String upstream, long sentAt) {
             this.upstream = upstream;
@@ -31,50 +33,52 @@
             return outcome != null;
         }
 
-        void ended(Outcome how, long at) {
-            outcome = how;
-            took = at - sentAt;
+        void ended(Outcome attemptOutcome, long endedAt) {
+            outcome = attemptOutcome;
+            durationNanos = endedAt - sentAt;
         }
 
         @Override
         public String toString() {
-            return upstream + (outcome == null ? " out" : " " + outcome + " " + took / MS + " ms");
+            return upstream
+                    + (outcome == null ? " out" : " " + outcome + " " + durationNanos / NANOS_PER_MS + " ms");
         }
     }
 
     private final PrintStream out;
-    private long began;
-    private int written;
-    private long leftOut;
+    private long secondStartedAt;
+    private int linesThisSecond;
+    private long omittedLines;
 
     FailedRequestLog(PrintStream out) {
         this.out = out;
     }
 
-    /** Writes the line if there is room for it; only then is it made. */
+    /** Writes a line unless the limit for this second is reached; only then is it built. */
     void add(long now, Supplier<String> line) {
-        if (now - began >= SECOND) {
-            began = now;
-            written = 0;
+        if (now - secondStartedAt >= NANOS_PER_SECOND) {
+            secondStartedAt = now;
+            linesThisSecond = 0;
         }
-        if (written >= MOST_A_SECOND) {
-            leftOut++;
+        if (linesThisSecond >= MAX_LINES_PER_SECOND) {
+            omittedLines++;
             return;
         }
-        written++;
+        linesThisSecond++;
         out.println("ended badly: " + line.get()
-                + (leftOut > 0 ? "; before it " + leftOut + " not shown" : ""));
-        leftOut = 0;
+                + (omittedLines > 0 ? "; before it " + omittedLines + " not shown" : ""));
+        omittedLines = 0;
     }
 
-    static String line(String id, String kind, String end, String reason, long after,
-            List<AttemptLogEntry> tries) {
-        return cut(id) + " " + cut(kind) + " " + end + " " + reason + " after " + after / MS + " ms, tries "
-                + tries;
+    /** Formats a line; {@code id} and {@code className} are what the client sent, or null. */
+    static String line(String id, String className, String result, String reason, long elapsedNanos,
+            List<AttemptLogEntry> attempts) {
+        return truncate(id) + " " + truncate(className) + " " + result + " " + reason + " after "
+                + elapsedNanos / NANOS_PER_MS + " ms, tries " + attempts;
     }
 
-    /** What a client wrote is repeated only in part. */
-    private static String cut(String word) {
-        return word == null ? "-" : word.substring(0, Math.min(word.length(), LONGEST_WORD));
+    /** Limits the length of texts that a client sent; a missing one is shown as a dash. */
+    private static String truncate(String text) {
+        return text == null ? "-" : text.substring(0, Math.min(text.length(), MAX_TEXT_CHARS));
     }
 }
