--- a/src/main/java/pondridge/sidecar/AsyncLogStream.java
+++ b/src/main/java/pondridge/sidecar/AsyncLogStream.java
@@ -12,21 +12,25 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Standard error whose writers never wait: lines are queued and written by a thread of their own. Where the
- * log's reader or disk can't keep up, lines are dropped and counted; a write that fails loses its line alone.
+ * A stream for standard error that never blocks its callers: complete lines are queued and written by a
+ * separate thread. If the reader of the log or the disk can't keep up, lines are dropped and counted. A
+ * failed write loses only its line. May be used on any thread.
  */
 final class AsyncLogStream extends OutputStream {
-    private static final int MOST_QUEUED_BYTES = 256 * 1024;
-    private static final int LONGEST_LINE_BYTES = 4 * 1024;
-    private static final int POLL_MS = 2;
+    private static final int MAX_QUEUED_BYTES = 256 * 1024;
+    /** The rest of a longer line is dropped. */
+    private static final int MAX_LINE_BYTES = 4 * 1024;
+    private static final int POLL_INTERVAL_MS = 2;
 
     private final OutputStream target;
-    private final LinkedBlockingQueue<byte[]> lines = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<byte[]> queuedLines = new LinkedBlockingQueue<>();
+    /** Size of the lines that are queued or being written. */
     private final AtomicInteger pendingBytes = new AtomicInteger();
-    private final AtomicLong lost = new AtomicLong();
+    private final AtomicLong lostLines = new AtomicLong();
+    /** The line that is not complete yet. */
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-    /** A stream that queues lines for a target. */
+    /** Creates a stream that queues lines for a target, and starts the thread that writes them. */
     AsyncLogStream(OutputStream target) {
         this.target = target;
         Thread writer = new Thread(this::writeLines, "log");
@@ -34,24 +38,24 @@
         writer.start();
     }
 
-    /** Puts such a stream in the place of {@link System#err}. */
+    /** Replaces {@link System#err} by such a stream for the process's standard error. */
     static AsyncLogStream install() {
         AsyncLogStream log = new AsyncLogStream(new FileOutputStream(FileDescriptor.err));
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         return log;
     }
 
-    /** Lines that were dropped or could not be written so far. */
-    long lost() {
-        return lost.get();
+    /** Returns how many lines have been dropped or could not be written so far. */
+    long lostLines() {
+        return lostLines.get();
     }
 
     @Override
-    public synchronized void write(int next) {
-        if (next == '\n') {
-            queue();
-        } else if (line.size() < LONGEST_LINE_BYTES) {
-            line.write(next);
+    public synchronized void write(int value) {
+        if (value == '\n') {
+            queueLine();
+        } else if (line.size() < MAX_LINE_BYTES) {
+            line.write(value);
         }
     }
 
@@ -62,28 +66,28 @@
         }
     }
 
-    private void queue() {
+    private void queueLine() {
         line.write('\n');
-        byte[] whole = line.toByteArray();
+        byte[] completeLine = line.toByteArray();
         line.reset();
-        if (pendingBytes.addAndGet(whole.length) > MOST_QUEUED_BYTES) {
-            pendingBytes.addAndGet(-whole.length);
-            lost.incrementAndGet();
+        if (pendingBytes.addAndGet(completeLine.length) > MAX_QUEUED_BYTES) {
+            pendingBytes.addAndGet(-completeLine.length);
+            lostLines.incrementAndGet();
             return;
         }
-        lines.add(whole);
+        queuedLines.add(completeLine);
     }
 
     private void writeLines() {
         try {
             while (true) {
-                byte[] next = lines.take();
+                byte[] nextLine = queuedLines.take();
                 try {
-                    target.write(next);
+                    target.write(nextLine);
                 } catch (IOException e) {
-                    lost.incrementAndGet();
+                    lostLines.incrementAndGet();
                 } finally {
-                    pendingBytes.addAndGet(-next.length);
+                    pendingBytes.addAndGet(-nextLine.length);
                 }
             }
         } catch (InterruptedException e) {
@@ -91,12 +95,12 @@
         }
     }
 
-    /** Waits until all is written, for a limited time; for the end of the process. */
-    void awaitWritten(long ms) {
-        long giveUpAt = System.nanoTime() + ms * 1_000_000;
+    /** Blocks until all queued lines are written, for a limited time; used before the process exits. */
+    void awaitWritten(long timeoutMs) {
+        long giveUpAt = System.nanoTime() + timeoutMs * 1_000_000;
         try {
             while (pendingBytes.get() > 0 && System.nanoTime() < giveUpAt) {
-                Thread.sleep(POLL_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
+++ b/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
@@ -12,33 +12,33 @@
 import org.junit.jupiter.api.Test;
 
 class AsyncLogStreamTest {
-    private static final int MANY = 10_000;
+    private static final int LINE_COUNT = 10_000;
 
-    /** A write to a log that nobody read stopped the event loop; lines are dropped and counted instead. */
+    /** A write to a pipe that nobody reads would block the event loop once the pipe is full. */
     @Test
-    void theLoopStoodStillWhenNobodyReadTheLog() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void dropsLinesInsteadOfBlockingWhenTheLogIsNotRead() throws Exception {
+        CountDownLatch unblock = new CountDownLatch(1);
         AsyncLogStream log = new AsyncLogStream(new OutputStream() {
             @Override
             public void write(int next) throws IOException {
                 try {
-                    go.await();
+                    unblock.await();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
             }
         });
-        PrintStream err = new PrintStream(log, true, StandardCharsets.UTF_8);
-        for (int i = 0; i < MANY; i++) {
-            err.println("a line that takes its place in the queue until there is none");
+        PrintStream stream = new PrintStream(log, true, StandardCharsets.UTF_8);
+        for (int i = 0; i < LINE_COUNT; i++) {
+            stream.println("a line that is queued as long as the queue has room for more");
         }
-        assertTrue(log.lost() > 0 && log.lost() < MANY, log.lost() + " lost");
-        go.countDown();
+        assertTrue(log.lostLines() > 0 && log.lostLines() < LINE_COUNT, log.lostLines() + " lost");
+        unblock.countDown();
     }
 
     @Test
-    void aFailedWriteLosesItsLineAlone() {
-        ByteArrayOutputStream disk = new ByteArrayOutputStream();
+    void aFailedWriteLosesOnlyItsLine() {
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
         AsyncLogStream log = new AsyncLogStream(new OutputStream() {
             private boolean failed;
 
@@ -53,14 +53,14 @@
                     failed = true;
                     throw new IOException("No space left on device");
                 }
-                disk.write(bytes);
+                written.write(bytes);
             }
         });
-        PrintStream err = new PrintStream(log, true, StandardCharsets.UTF_8);
-        err.println("first");
-        err.println("second");
+        PrintStream stream = new PrintStream(log, true, StandardCharsets.UTF_8);
+        stream.println("first");
+        stream.println("second");
         log.awaitWritten(FakeUpstream.LIMIT_S * 1_000);
-        assertEquals("second\n", disk.toString(StandardCharsets.UTF_8));
-        assertEquals(1, log.lost());
+        assertEquals("second\n", written.toString(StandardCharsets.UTF_8));
+        assertEquals(1, log.lostLines());
     }
 }
