--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -21,89 +21,100 @@
 import pondridge.SettingsReader;
 
 /**
- * Loads and compiles what every request runs through, before the first client comes: the sidecar asks its own
- * frontend, and an instance of the module that nobody hears decides for requests that do not exist.
+ * Has the JVM load and compile the code that each request runs through, before the sidecar reports that it is
+ * ready. To do so, it sends requests to the sidecar's own frontend, and passes made-up requests to a separate
+ * balancer whose actions have no effect.
  */
 final class WarmUp {
-    private static final int ROUNDS = 600;
-    private static final long PATIENCE = 1_000_000_000;
-    /** On a crowded core a cold sidecar is better than a late one. */
-    private static final long LONGEST = 3_000_000_000L;
-    private static final long STEP = 10_000_000;
-
-    private final UpstreamClient self;
-    private final Runnable done;
-    private final Consumer<Throwable> failed;
-    private boolean over;
-
-    private WarmUp(UpstreamClient self, Runnable done, Consumer<Throwable> failed) {
-        this.self = self;
-        this.done = done;
-        this.failed = failed;
+    private static final int REQUEST_COUNT = 600;
+    private static final long REQUEST_TIMEOUT_NANOS = 1_000_000_000;
+    /** On a busy CPU, a sidecar that is not warmed up is better than one that becomes ready too late. */
+    private static final long MAX_DURATION_NANOS = 3_000_000_000L;
+    private static final long REQUEST_INTERVAL_NANOS = 10_000_000;
+
+    private final UpstreamClient frontendClient;
+    private final Runnable onDone;
+    private final Consumer<Throwable> onFailure;
+    private boolean finished;
+
+    private WarmUp(UpstreamClient frontendClient, Runnable onDone, Consumer<Throwable> onFailure) {
+        this.frontendClient = frontendClient;
+        this.onDone = onDone;
+        this.onFailure = onFailure;
     }
 
     /**
-     * Runs on the loop. {@code done} follows within {@link #LONGEST}, also if the frontend can't be reached;
-     * {@code failed} instead of it if something here can't be done at all.
+     * Starts a warm-up; must be called on the event loop, which also makes both callbacks.
+     *
+     * @param frontend address of this sidecar's frontend
+     * @param onDone called within {@link #MAX_DURATION_NANOS}, also if the frontend can't be reached
+     * @param onFailure called instead if a step throws an exception, and also if {@code onDone} does
      */
-    static void run(EventLoop loop, SettingsReader settingsReader, InetSocketAddress frontend, Runnable done,
-            Consumer<Throwable> failed) {
-        UpstreamClient self = new UpstreamClient(loop, settingsReader, 1, 0);
-        WarmUp warmUp = new WarmUp(self, done, failed);
-        loop.schedule(warmUp::end, LONGEST, TimeUnit.NANOSECONDS);
-        warmUp.attempt(() -> {
-            decide(settingsReader.settings());
-            self.listed(0, frontend, 0, true);
-            warmUp.ask(ROUNDS);
+    static void run(EventLoop loop, SettingsReader settingsReader, InetSocketAddress frontend,
+            Runnable onDone, Consumer<Throwable> onFailure) {
+        UpstreamClient frontendClient = new UpstreamClient(loop, settingsReader, 1, 0);
+        WarmUp warmUp = new WarmUp(frontendClient, onDone, onFailure);
+        loop.schedule(warmUp::finish, MAX_DURATION_NANOS, TimeUnit.NANOSECONDS);
+        warmUp.runStep(() -> {
+            warmUpRules(settingsReader.settings());
+            frontendClient.listed(0, frontend, 0, true);
+            warmUp.sendRequests(REQUEST_COUNT);
         });
     }
 
-    private void attempt(Runnable step) {
+    private void runStep(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException | Error e) {
-            over = true;
-            failed.accept(e);
+            finished = true;
+            onFailure.accept(e);
         }
     }
 
-    /** The frontend knows no such request and answers 400: the way there and back is the same. */
-    private void ask(int left) {
-        if (left == 0) {
-            end();
-        } else if (!over) {
+    /**
+     * Sends requests one after the other. The frontend rejects them with status 400, since they have no
+     * {@code Req-Id}; reading them and responding run the same code as for a valid request. Any other outcome
+     * ends the warm-up.
+     */
+    private void sendRequests(int remaining) {
+        if (remaining == 0) {
+            finish();
+        } else if (!finished) {
             FullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/");
-            self.send(0, timeLeft -> request, PATIENCE, (outcome, answer, load) ->
-                    attempt(() -> ask(outcome == Outcome.ERROR ? left - 1 : 0)));
+            frontendClient.send(0, timeLeft -> request, REQUEST_TIMEOUT_NANOS, (outcome, response, load) ->
+                    runStep(() -> sendRequests(outcome == Outcome.ERROR ? remaining - 1 : 0)));
         }
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
-            self.close();
-            attempt(done);
+    /** Ends the warm-up unless it has ended, and calls {@link #onDone}. */
+    private void finish() {
+        if (!finished) {
+            finished = true;
+            frontendClient.close();
+            runStep(onDone);
         }
     }
 
-    private static void decide(Settings settings) {
-        Balancer rules = new Rules(settings, 0, new Unheard());
+    /** Passes made-up requests of all classes, with successful attempts, to a balancer of its own. */
+    private static void warmUpRules(Settings settings) {
+        Balancer rules = new Rules(settings, 0, new NoOpActions());
         long now = System.nanoTime() & Long.MAX_VALUE;
         rules.start(now);
         rules.listUpdated(now, ListUpdateType.CACHED, List.of(
                 new Upstream(1, 0, 0, 0, UpstreamState.READY, 1, 0),
                 new Upstream(2, 0, 0, 0, UpstreamState.READY, 1, 0)));
-        for (int i = 0; i < ROUNDS; i++) {
-            now += STEP;
-            rules.requestArrived(now,
-                    new Request(i, i % settings.classes().size(), 0, 0, PATIENCE, 0, 0, false, false));
-            rules.attemptEnded(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
-            rules.timerFired(now + STEP / 2, i);
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            now += REQUEST_INTERVAL_NANOS;
+            rules.requestArrived(now, new Request(i, i % settings.classes().size(), 0, 0,
+                    REQUEST_TIMEOUT_NANOS, 0, 0, false, false));
+            rules.attemptEnded(now + REQUEST_INTERVAL_NANOS / 2, i, 0, 1, Outcome.OK,
+                    REQUEST_INTERVAL_NANOS / 2, true, new float[0]);
+            rules.timerFired(now + REQUEST_INTERVAL_NANOS / 2, i);
         }
     }
 
-    private static final class Unheard implements Balancer.Actions {
+    private static final class NoOpActions implements Balancer.Actions {
         @Override
         public void send(long request, long upstream, long timeout) { }
 
--- a/src/test/java/pondridge/sidecar/WarmUpTest.java
+++ b/src/test/java/pondridge/sidecar/WarmUpTest.java
@@ -14,42 +14,44 @@
 import org.junit.jupiter.api.Test;
 import pondridge.SettingsReader;
 
-/** A warm-up has one end, whatever happens in it. */
+/** A warm-up calls one of its two callbacks, whatever happens during it. */
 class WarmUpTest {
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void run(SettingsReader settingsReader, InetSocketAddress frontend, Runnable done) {
-        loop.execute(() -> WarmUp.run(loop, settingsReader, frontend, done, e -> ends.add("failed: " + e)));
+    private void run(SettingsReader settingsReader, InetSocketAddress frontend, Runnable onDone) {
+        loop.execute(() ->
+                WarmUp.run(loop, settingsReader, frontend, onDone, e -> results.add("failed: " + e)));
     }
 
     @Test
-    void doneFollowsAlsoIfTheFrontendIsNotThere() throws Exception {
-        try (FakeUpstream gone = new FakeUpstream((socket, head) -> false)) {
-            run(Config.of(SidecarHarness.json()).settingsReader(), gone.address(), () -> ends.add("done"));
-            assertEquals("done", FakeUpstream.next(ends));
+    void callsOnDoneIfTheFrontendDoesNotRespond() throws Exception {
+        try (FakeUpstream closing = new FakeUpstream((socket, head) -> false)) {
+            run(Config.of(SidecarHarness.json()).settingsReader(), closing.address(),
+                    () -> results.add("done"));
+            assertEquals("done", FakeUpstream.next(results));
         }
     }
 
     @Test
-    void whatCannotBeDoneIsToldInsteadOfDone() throws Exception {
+    void callsOnFailureIfAStepThrows() throws Exception {
         try (FakeUpstream frontend = new FakeUpstream((socket, head) ->
                 FakeUpstream.reply(socket, "400 Bad Request", "", ""))) {
-            run(new SettingsReader(""), frontend.address(), () -> ends.add("done"));
-            String end = FakeUpstream.next(ends);
-            assertTrue(end.startsWith("failed: ") && end.contains("profiles.count"), end);
+            run(new SettingsReader(""), frontend.address(), () -> results.add("done"));
+            String result = FakeUpstream.next(results);
+            assertTrue(result.startsWith("failed: ") && result.contains("profiles.count"), result);
             run(Config.of(SidecarHarness.json()).settingsReader(), frontend.address(), () -> {
                 throw new IllegalStateException("not ready");
             });
-            end = FakeUpstream.next(ends);
-            assertTrue(end.startsWith("failed: ") && end.contains("not ready"), end);
+            result = FakeUpstream.next(results);
+            assertTrue(result.startsWith("failed: ") && result.contains("not ready"), result);
         }
     }
 }
