--- a/src/main/java/pondridge/sidecar/ConfigReloader.java
+++ b/src/main/java/pondridge/sidecar/ConfigReloader.java
@@ -32,7 +32,7 @@
     public synchronized void run() {
         try {
             InetSocketAddress discovery =
-                    IoRetry.whileInputFails(MAX_RETRY_MS, () -> Config.read(configFile)).discovery();
+                    IoRetry.retryOnIoException(MAX_RETRY_MS, () -> Config.read(configFile)).discovery();
             System.err.println("pondridge: configuration read again, discovery at " + discovery);
             loop.execute(() -> dispatcher.discoveryMoved(discovery));
         } catch (RuntimeException | IOException e) {
--- a/src/main/java/pondridge/sidecar/IoRetry.java
+++ b/src/main/java/pondridge/sidecar/IoRetry.java
@@ -2,39 +2,42 @@
 
 import java.io.IOException;
 
-/** Repeats what may fail on this machine for a moment; never on the event loop, since it waits. */
+/**
+ * Retries I/O that may fail because of a temporary error of this machine. It blocks between two runs, and so
+ * must not be used on the event loop.
+ */
 final class IoRetry {
-    private static final long PAUSE_MS = 50;
+    private static final long RETRY_DELAY_MS = 50;
 
-    /** What is to be done. */
-    interface Attempt<T> {
+    /** An operation that may be run more than once. */
+    interface IoAction<T> {
         T run() throws IOException;
     }
 
     private IoRetry() { }
 
     /**
-     * Runs an attempt until it does not fail with an IOException, for a limited time.
+     * Runs an action until it does not throw an IOException, for a limited time.
      *
-     * @throws IOException that of the last attempt
+     * @throws IOException that of the last run
      */
-    static <T> T whileInputFails(long limitMs, Attempt<T> attempt) throws IOException {
-        long giveUpAt = System.nanoTime() + limitMs * 1_000_000;
+    static <T> T retryOnIoException(long timeoutMs, IoAction<T> action) throws IOException {
+        long giveUpAt = System.nanoTime() + timeoutMs * 1_000_000;
         while (true) {
             try {
-                return attempt.run();
+                return action.run();
             } catch (IOException e) {
                 if (System.nanoTime() >= giveUpAt) {
                     throw e;
                 }
-                pause();
+                sleepBeforeRetry();
             }
         }
     }
 
-    private static void pause() {
+    private static void sleepBeforeRetry() {
         try {
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(RETRY_DELAY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -35,7 +35,7 @@
             if (file == null) {
                 throw new IllegalArgumentException("not set: PROXY_CONFIG");
             }
-            config = IoRetry.whileInputFails(START_LIMIT_MS, () -> Config.read(Path.of(file)));
+            config = IoRetry.retryOnIoException(START_LIMIT_MS, () -> Config.read(Path.of(file)));
         } catch (RuntimeException | IOException e) {
             System.err.println("pondridge: configuration: " + e.getMessage());
             halt(2);
