--- a/src/main/java/pondridge/sidecar/Config.java
+++ b/src/main/java/pondridge/sidecar/Config.java
@@ -16,12 +16,21 @@
 import java.util.StringJoiner;
 import pondridge.SettingsReader;
 
-/** What one sidecar is told at its start; a mistake is an exception whose message names the key. */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        PeerMessenger.Addresses peers, DiscoveryClient.UpstreamList known, SettingsReader settingsReader) {
+/**
+ * The configuration of one sidecar. An invalid one is reported as an {@link IllegalArgumentException} with a
+ * one-line message that names the key.
+ *
+ * @param seed seeds the balancer's random numbers
+ * @param maxSockets how many sockets the sidecar may have open
+ * @param cachedList the upstream list to use until discovery has sent one
+ */
+record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int maxSockets,
+        PeerMessenger.Addresses peers, DiscoveryClient.UpstreamList cachedList,
+        SettingsReader settingsReader) {
     static final ObjectMapper JSON = new ObjectMapper();
-    private static final int FEWEST_SOCKETS = 64;
+    private static final int MIN_SOCKETS = 64;
 
+    /** Reads the configuration from a JSON file. */
     static Config read(Path file) throws IOException {
         try {
             return of(JSON.readTree(Files.readAllBytes(file)));
@@ -30,6 +39,7 @@
         }
     }
 
+    /** Takes the configuration from a parsed JSON file, and checks that its settings are valid. */
     static Config of(JsonNode root) {
         JsonNode settings = root.path("settings");
         if (!settings.isObject()) {
@@ -39,15 +49,15 @@
         flatten("", settings, lines);
         SettingsReader settingsReader = new SettingsReader(lines.toString());
         settingsReader.settings();
-        int sockets = root.path("limits").path("sockets").asInt(1024);
-        if (sockets < FEWEST_SOCKETS) {
-            throw new IllegalArgumentException("too few: limits.sockets");
+        int maxSockets = root.path("limits").path("sockets").asInt(1024);
+        if (maxSockets < MIN_SOCKETS) {
+            throw new IllegalArgumentException("below the minimum: limits.sockets");
         }
-        DiscoveryClient.UpstreamList known = root.has("known")
+        DiscoveryClient.UpstreamList cachedList = root.has("known")
                 ? DiscoveryClient.UpstreamList.of(root.get("known"))
                 : DiscoveryClient.UpstreamList.NONE;
         return new Config(root.path("name").asText("sidecar"), address(root, "listen"),
-                address(root, "discovery"), seed(root), sockets, peers(root), known, settingsReader);
+                address(root, "discovery"), seed(root), maxSockets, peers(root), cachedList, settingsReader);
     }
 
     private static InetSocketAddress address(JsonNode root, String key) {
@@ -59,13 +69,13 @@
     }
 
     private static PeerMessenger.Addresses peers(JsonNode root) {
-        List<InetSocketAddress> each = new ArrayList<>();
-        root.path("peers").forEach(node -> each.add(parseAddress(node.asText())));
-        if (each.contains(null)) {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        root.path("peers").forEach(node -> addresses.add(parseAddress(node.asText())));
+        if (addresses.contains(null)) {
             throw new IllegalArgumentException("not an address and port: peers");
         }
         return new PeerMessenger.Addresses(root.has("peer_listen") ? address(root, "peer_listen") : null,
-                Collections.unmodifiableList(each),
+                Collections.unmodifiableList(addresses),
                 root.has("peers_all") ? address(root, "peers_all") : null);
     }
 
@@ -77,7 +87,10 @@
         }
     }
 
-    /** A numeric address and port, or null; names are never looked up, since there is no DNS. */
+    /**
+     * Parses a numeric address and port; returns null for any other text. Host names are not resolved, since
+     * there is no DNS.
+     */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(
@@ -91,13 +104,14 @@
     }
 
     /**
-     * Writes a JSON tree as the path=value lines of the simulator's wire, which {@link SettingsReader} reads.
+     * Appends a JSON tree as path=value lines, the format in which the simulator sends settings, for
+     * {@link SettingsReader}.
      */
     private static void flatten(String path, JsonNode node, StringBuilder lines) {
         if (node.isObject()) {
             for (Map.Entry<String, JsonNode> field : node.properties()) {
-                String inner = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
-                flatten(inner, field.getValue(), lines);
+                String childPath = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
+                flatten(childPath, field.getValue(), lines);
             }
         } else if (node.isArray() && node.size() > 0 && node.get(0).isContainerNode()) {
             lines.append(path).append(".count=").append(node.size()).append('\n');
--- a/src/main/java/pondridge/sidecar/DiscoveryClient.java
+++ b/src/main/java/pondridge/sidecar/DiscoveryClient.java
@@ -124,17 +124,17 @@
     /**
      * Creates a client that opens no connection yet.
      *
-     * @param initialList the list from the configuration, which counts as the last one received
+     * @param cachedList the list from the configuration, which counts as the last one received
      * @param listener called on the event loop with each list or change of it, and with
      *     {@link ListUpdateType#FAILED} once for each call that failed and is not retried from here
      */
-    DiscoveryClient(EventLoop loop, InetSocketAddress address, UpstreamList initialList,
+    DiscoveryClient(EventLoop loop, InetSocketAddress address, UpstreamList cachedList,
             BiConsumer<ListUpdateType, List<ListEntry>> listener) {
         this.loop = loop;
         this.dialer = new Dialer(loop, CONNECT_TIMEOUT_MS);
         this.address = address;
-        this.revision = initialList.revision();
-        applyUpdate(initialList);
+        this.revision = cachedList.revision();
+        applyUpdate(cachedList);
         this.listener = listener;
     }
 
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -66,10 +66,10 @@
 
     private static void start(EventLoop loop, EventLoopMonitor times, Config config, Path file,
             boolean rehearsal) {
-        RequestDispatcher dispatcher = new RequestDispatcher(loop, config, config.sockets() / 2);
+        RequestDispatcher dispatcher = new RequestDispatcher(loop, config, config.maxSockets() / 2);
         Frontend frontend = new Frontend(dispatcher, times, config.settingsReader(),
-                config.sockets() * 3 / 8);
-        dispatcher.start(config.known());
+                config.maxSockets() * 3 / 8);
+        dispatcher.start(config.cachedList());
         SighupHandler.handle(new ConfigReloader(loop, file, dispatcher));
         long giveUpAt = System.nanoTime() + START_LIMIT_MS * 1_000_000;
         listen(loop, config, frontend, giveUpAt, address -> {
--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -134,8 +134,9 @@
         this.tryLimit = settings.capabilities().maxAttempts();
         this.mostOpen = mostOpen;
         this.automatic = settings.discovery() == Balancer.DiscoveryMode.AUTOMATIC;
-        this.upstreamClient = new UpstreamClient(loop, config.settingsReader(), config.sockets() / 2);
-        this.discoveryClient = new DiscoveryClient(loop, config.discovery(), config.known(), this::listed);
+        this.upstreamClient = new UpstreamClient(loop, config.settingsReader(), config.maxSockets() / 2);
+        this.discoveryClient = new DiscoveryClient(loop, config.discovery(), config.cachedList(),
+                this::listed);
         this.peerMessenger = new PeerMessenger(config.peers(), (from, message) ->
                 tell(now -> rules.peerMessageReceived(now, from, message)));
         config.settingsReader().list("zones").forEach(zone -> number(zones, zone));
--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/ConfigTest.java
@@ -11,11 +11,11 @@
 import pondridge.Balancer.Semantics;
 import pondridge.Balancer.Settings;
 
-/** The configuration, and the settings in it as the module is told them. */
+/** Parsing of the configuration and of the balancer's settings in it. */
 class ConfigTest {
 
     @Test
-    void settingsReadAsOnTheSimulatorsWire() throws Exception {
+    void settingsAreReadAsTheSimulatorSendsThem() throws Exception {
         Config config = Config.of(SidecarHarness.json());
         Settings settings = config.settingsReader().settings();
         assertEquals(List.of("rate", "q"), settings.reportFields());
@@ -24,12 +24,12 @@
         assertEquals(List.of("look", "hold", "book"), config.settingsReader().names("profiles"));
         assertEquals(List.of("acme"), config.settingsReader().names("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(41, config.known().revision());
+        assertEquals(41, config.cachedList().revision());
     }
 
-    /** Who runs it must see from one line what to mend. */
+    /** Operators have to see from a one-line message which key to correct. */
     @Test
-    void mistakesNameTheirKey() throws Exception {
+    void errorMessagesNameTheKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
             ObjectNode json = SidecarHarness.json();
             json.remove(key);
@@ -53,10 +53,11 @@
 
     /** There is no DNS: a name would block the event loop until the resolver gives up. */
     @Test
-    void onlyNumericAddressesAreTaken() {
+    void onlyNumericAddressesAreAccepted() {
         assertEquals(8080, Config.parseAddress("127.0.0.1:8080").getPort());
-        for (String bad : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":80")) {
-            assertNull(Config.parseAddress(bad), bad);
+        for (String invalid : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000",
+                ":80")) {
+            assertNull(Config.parseAddress(invalid), invalid);
         }
     }
 }
--- a/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -44,9 +44,9 @@
     }
 
     private DiscoveryClient clientOf(FakeUpstream server) {
-        DiscoveryClient.UpstreamList initialList =
+        DiscoveryClient.UpstreamList cachedList =
                 new DiscoveryClient.UpstreamList(41, true, List.of(), Set.of());
-        return new DiscoveryClient(loop, server.address(), initialList,
+        return new DiscoveryClient(loop, server.address(), cachedList,
                 (type, entries) -> updates.add(new ListUpdate(type, entries)));
     }
 
--- a/src/test/java/pondridge/sidecar/SidecarHarness.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -40,7 +40,7 @@
         Config config = Config.of(json);
         dispatcher = new RequestDispatcher(loop, config, 100);
         frontend = new Frontend(dispatcher, times, config.settingsReader(), 100);
-        loop.submit(() -> dispatcher.start(config.known())).sync();
+        loop.submit(() -> dispatcher.start(config.cachedList())).sync();
         address = (InetSocketAddress) frontend.listen(loop, config.listen()).sync().channel().localAddress();
     }
 
