--- a/src/main/java/pondridge/sidecar/EventLoopMonitor.java
+++ b/src/main/java/pondridge/sidecar/EventLoopMonitor.java
@@ -32,7 +32,7 @@
     private boolean eventSeen;
 
     /** Returns a factory whose I/O handlers report their polls to this monitor. */
-    IoHandlerFactory monitor(IoHandlerFactory factory) {
+    IoHandlerFactory wrap(IoHandlerFactory factory) {
         return executor -> new MonitoredHandler(factory.newHandler(executor));
     }
 
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -12,114 +12,127 @@
 import java.util.function.Consumer;
 import pondridge.Balancer.RequestClass;
 
-/** Entry point of the real sidecar: configuration, start, and an orderly end at SIGTERM. */
+/**
+ * Entry point of the sidecar. Reads the configuration, starts the sidecar on one event loop, warms it up,
+ * and shuts it down gracefully at SIGTERM.
+ */
 public final class Main {
-    /** So long a start repeats what may fail for a moment; a sidecar has 10 s to become ready. */
-    private static final long START_LIMIT_MS = 3_000;
-    private static final long LISTEN_RETRY_MS = 50;
-    /** How long the end of the process may wait for the log. */
-    private static final long LAST_LINES_MS = 50;
+    /** Time limit for retries of what may fail temporarily at start; a sidecar has 10 s to become ready. */
+    private static final long MAX_START_RETRY_MS = 3_000;
+    private static final long LISTEN_RETRY_DELAY_MS = 50;
+    /** How long the process waits at its end for the last log lines to be written. */
+    private static final long LOG_FLUSH_TIMEOUT_MS = 50;
     private static final AsyncLogStream LOG = AsyncLogStream.install();
 
     private Main() { }
 
     /**
-     * Runs until SIGTERM, with the argument {@code rehearse} only until it is warm: that checks a
-     * configuration, and shows the build which classes belong in the class archive. A bad configuration ends
-     * it with one line and exit status 2.
+     * Runs the sidecar until SIGTERM. With the argument {@code rehearse} it exits after the warm-up, which
+     * checks a configuration and lets the build find out which classes belong in the class data archive. An
+     * invalid configuration ends the process with one log line and exit status 2.
      */
     public static void main(String[] args) {
-        String file = System.getenv("PROXY_CONFIG");
+        String configFile = System.getenv("PROXY_CONFIG");
         Config config;
         try {
-            if (file == null) {
+            if (configFile == null) {
                 throw new IllegalArgumentException("not set: PROXY_CONFIG");
             }
-            config = IoRetry.retryOnIoException(START_LIMIT_MS, () -> Config.read(Path.of(file)));
+            config = IoRetry.retryOnIoException(MAX_START_RETRY_MS, () -> Config.read(Path.of(configFile)));
         } catch (RuntimeException | IOException e) {
             System.err.println("pondridge: configuration: " + e.getMessage());
             halt(2);
             return;
         }
-        EventLoopMonitor times = new EventLoopMonitor();
-        EventLoop loop = new MultiThreadIoEventLoopGroup(1, times.monitor(NioIoHandler.newFactory())).next();
+        EventLoopMonitor monitor = new EventLoopMonitor();
+        EventLoop loop = new MultiThreadIoEventLoopGroup(1, monitor.wrap(NioIoHandler.newFactory())).next();
         boolean rehearsal = args.length == 1 && args[0].equals("rehearse");
         loop.execute(() -> {
             try {
-                start(loop, times, config, Path.of(file), rehearsal);
+                start(loop, monitor, config, Path.of(configFile), rehearsal);
             } catch (RuntimeException | Error e) {
-                fail("start: " + e);
+                failStart("start: " + e);
             }
         });
     }
 
-    /** The end of a start that can't succeed: one line, and no process that is neither ready nor gone. */
-    private static void fail(String why) {
-        System.err.println("pondridge: " + why);
+    /**
+     * Ends the process with one log line and exit status 1 after a failed start, so that no process stays
+     * that never becomes ready.
+     */
+    private static void failStart(String message) {
+        System.err.println("pondridge: " + message);
         halt(1);
     }
 
+    /** Ends the process without its shutdown hooks, after the last log lines are written. */
     private static void halt(int status) {
-        LOG.awaitWritten(LAST_LINES_MS);
+        LOG.awaitWritten(LOG_FLUSH_TIMEOUT_MS);
         Runtime.getRuntime().halt(status);
     }
 
-    private static void start(EventLoop loop, EventLoopMonitor times, Config config, Path file,
+    /** Starts all parts of the sidecar; runs on the event loop. */
+    private static void start(EventLoop loop, EventLoopMonitor monitor, Config config, Path configFile,
             boolean rehearsal) {
         RequestDispatcher dispatcher = new RequestDispatcher(loop, config, config.maxSockets() / 2);
-        Frontend frontend = new Frontend(dispatcher, times, config.settingsReader(),
+        Frontend frontend = new Frontend(dispatcher, monitor, config.settingsReader(),
                 config.maxSockets() * 3 / 8);
         dispatcher.start(config.cachedList());
-        SighupHandler.handle(new ConfigReloader(loop, file, dispatcher));
-        long giveUpAt = System.nanoTime() + START_LIMIT_MS * 1_000_000;
+        SighupHandler.handle(new ConfigReloader(loop, configFile, dispatcher));
+        long giveUpAt = System.nanoTime() + MAX_START_RETRY_MS * 1_000_000;
         listen(loop, config, frontend, giveUpAt, address -> {
-            endAtSigterm(loop, config, dispatcher, frontend);
+            addShutdownHook(loop, config, dispatcher, frontend);
             WarmUp.run(loop, config.settingsReader(), address,
-                    rehearsal ? Main::end : () -> ready(config, frontend), e -> fail("warm-up: " + e));
+                    rehearsal ? Main::exitAfterRehearsal : () -> ready(config, frontend),
+                    e -> failStart("warm-up: " + e));
         });
     }
 
-    /** Listens, and tries again for a while where the address or a socket can't be had. */
+    /**
+     * Listens for clients. While the address is in use or no socket can be opened, it tries again until
+     * {@code giveUpAt}, and then ends the process.
+     */
     private static void listen(EventLoop loop, Config config, Frontend frontend, long giveUpAt,
-            Consumer<InetSocketAddress> listening) {
-        Consumer<Throwable> failed = cause -> {
+            Consumer<InetSocketAddress> onListening) {
+        Consumer<Throwable> onFailure = cause -> {
             if (System.nanoTime() >= giveUpAt) {
-                fail("listen: " + cause.getMessage());
+                failStart("listen: " + cause.getMessage());
             } else {
-                loop.schedule(() -> listen(loop, config, frontend, giveUpAt, listening), LISTEN_RETRY_MS,
-                        TimeUnit.MILLISECONDS);
+                loop.schedule(() -> listen(loop, config, frontend, giveUpAt, onListening),
+                        LISTEN_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             }
         };
         try {
             ChannelFuture bound = frontend.listen(loop, config.listen());
-            bound.addListener(done -> {
-                if (done.isSuccess()) {
-                    listening.accept((InetSocketAddress) bound.channel().localAddress());
+            bound.addListener(result -> {
+                if (result.isSuccess()) {
+                    onListening.accept((InetSocketAddress) bound.channel().localAddress());
                 } else {
-                    failed.accept(done.cause());
+                    onFailure.accept(result.cause());
                 }
             });
         } catch (ChannelException e) {
-            failed.accept(e);
+            onFailure.accept(e);
         }
     }
 
+    /** Reports that the sidecar is ready, to clients and in the log. */
     private static void ready(Config config, Frontend frontend) {
         frontend.ready();
         System.err.println("pondridge: " + config.name() + " ready at " + config.listen());
     }
 
-    /** A rehearsal is over. Not on the loop, which the shutdown hook still needs. */
-    private static void end() {
+    /** Exits on a thread of its own, since the shutdown hook needs the event loop. */
+    private static void exitAfterRehearsal() {
         new Thread(() -> System.exit(0)).start();
     }
 
-    /** The hook holds the process until all is answered, or SIGKILL is near. */
-    private static void endAtSigterm(EventLoop loop, Config config, RequestDispatcher dispatcher,
+    /** Adds a hook that keeps the process alive until the graceful shutdown ends, which is before SIGKILL. */
+    private static void addShutdownHook(EventLoop loop, Config config, RequestDispatcher dispatcher,
             Frontend frontend) {
-        long longest = config.settingsReader().settings().classes().stream()
+        long maxDeadlineMs = config.settingsReader().settings().classes().stream()
                 .mapToLong(RequestClass::deadline).max().orElse(0) / 1_000_000;
-        GracefulShutdown shutdown = new GracefulShutdown(loop, dispatcher, frontend, longest);
+        GracefulShutdown shutdown = new GracefulShutdown(loop, dispatcher, frontend, maxDeadlineMs);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 shutdown.run();
--- a/src/test/java/pondridge/sidecar/SidecarHarness.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -27,7 +27,7 @@
 
     private final EventLoopMonitor times = new EventLoopMonitor();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, times.monitor(NioIoHandler.newFactory()));
+            new MultiThreadIoEventLoopGroup(1, times.wrap(NioIoHandler.newFactory()));
     final EventLoop loop = group.next();
     final Frontend frontend;
     final RequestDispatcher dispatcher;
