--- a/src/main/java/pondridge/sidecar/Config.java
+++ b/src/main/java/pondridge/sidecar/Config.java
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Takes the configuration from a parsed JSON file, and checks that its settings are valid. */
+    /** Converts a parsed JSON file to a configuration, and checks that the settings are valid. */
     static Config of(JsonNode root) {
         JsonNode settings = root.path("settings");
         if (!settings.isObject()) {
--- a/src/main/java/pondridge/sidecar/DiscoveryClient.java
+++ b/src/main/java/pondridge/sidecar/DiscoveryClient.java
@@ -36,14 +36,14 @@
 /**
  * HTTP client of the discovery service. It watches the upstream list for changes or fetches the whole list
  * once. In automatic mode it keeps a watch open by itself and reconnects after a failure; otherwise the
- * balancer starts each watch and fetch, and learns of each failure.
+ * balancer starts each watch and fetch, and is notified of each failure.
  *
- * <p>Used by {@link RequestDispatcher} on the event loop only, on which the listener is called, too.
+ * <p>Used by {@link RequestDispatcher} on the event loop only; the listener is called on it, too.
  */
 final class DiscoveryClient {
     /**
-     * Discovery takes up to 2 s to respond and sends an empty line every 2 s on a watch; a connection
-     * without data for longer counts as broken.
+     * A call fails if nothing is received for this long. Discovery takes up to 2 s to respond, and sends an
+     * empty line every 2 s on a watch.
      */
     private static final long READ_TIMEOUT_MS = 5_000;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -117,7 +117,7 @@
     private long revision;
     /** The open watch, or null. */
     private DiscoveryCall watch;
-    /** Whether a failed watch is opened again without a request of the balancer. */
+    /** Whether a failed watch is opened again automatically. */
     private boolean keepWatchOpen;
     private long retryDelayMs = MIN_RETRY_DELAY_MS;
 
@@ -126,7 +126,7 @@
      *
      * @param cachedList the list from the configuration, which counts as the last one received
      * @param listener called on the event loop with each list or change of it, and with
-     *     {@link ListUpdateType#FAILED} once for each call that failed and is not retried from here
+     *     {@link ListUpdateType#FAILED} once for each call that failed and is not retried automatically
      */
     DiscoveryClient(EventLoop loop, InetSocketAddress address, UpstreamList cachedList,
             BiConsumer<ListUpdateType, List<ListEntry>> listener) {
@@ -141,8 +141,8 @@
     /**
      * Takes over a list or a change of it, and returns the entries that the listener gets. For an invalid
      * entry of a whole list, the last valid entry of the same uid stays in use; upstreams that a whole list
-     * does not mention are gone. If the uid of an invalid entry can't be read, it may be that of any upstream
-     * that seems to be missing, so that all of those are kept.
+     * does not mention are gone. An invalid entry without a readable uid may stand for any upstream that the
+     * list does not mention, so that all of those are kept.
      */
     private List<ListEntry> applyUpdate(UpstreamList update) {
         List<ListEntry> entries = new ArrayList<>(update.entries());
@@ -165,13 +165,13 @@
         return entries;
     }
 
-    /** Opens a watch and opens it again after each failure, without a request of the balancer. */
+    /** Opens a watch, and opens it again automatically after each failure. */
     void keepWatchOpen() {
         keepWatchOpen = true;
         watch(true);
     }
 
-    /** Closes the current watch, if any, and with {@code enabled} opens one from the last known revision. */
+    /** Closes the current watch, if any; if {@code enabled}, opens one from the last known revision on. */
     void watch(boolean enabled) {
         if (watch != null) {
             watch.close();
@@ -278,7 +278,7 @@
             }
         }
 
-        /** The last known list stays in use meanwhile; of several failures in a row, the first is logged. */
+        /** The last known list stays in use meanwhile. Of failures in a row, only the first is logged. */
         private void reopenWatchLater() {
             if (retryDelayMs == MIN_RETRY_DELAY_MS) {
                 System.err.println("discovery: watch at " + address + " broken, rev " + revision
--- a/src/main/java/pondridge/sidecar/EventLoopMonitor.java
+++ b/src/main/java/pondridge/sidecar/EventLoopMonitor.java
@@ -17,7 +17,7 @@
  * {@link IoHandler#run} is a poll. Used on the event loop only.
  */
 final class EventLoopMonitor {
-    /** If the first event of a poll comes later than this, the selector has waited for it. */
+    /** If the first event comes later than this after a poll's start, the selector has waited for it. */
     private static final long MIN_SELECT_WAIT_NANOS = 1_000_000;
 
     private long pollStartedAt;
--- a/src/main/java/pondridge/sidecar/FailedRequestLog.java
+++ b/src/main/java/pondridge/sidecar/FailedRequestLog.java
@@ -54,7 +54,7 @@
         this.out = out;
     }
 
-    /** Writes a line unless the limit for this second is reached; only then is it built. */
+    /** Builds and writes a line, or only counts it once the limit for this second is reached. */
     void add(long now, Supplier<String> line) {
         if (now - secondStartedAt >= NANOS_PER_SECOND) {
             secondStartedAt = now;
--- a/src/main/java/pondridge/sidecar/GracefulShutdown.java
+++ b/src/main/java/pondridge/sidecar/GracefulShutdown.java
@@ -17,7 +17,7 @@
     private static final long MAX_COUNTED_DEADLINE_MS = 3_000;
     /** SIGKILL follows SIGTERM no sooner than after the longest deadline plus this time. */
     private static final long KILL_GRACE_MS = 700;
-    /** Time before SIGKILL at which all open requests get their final responses. */
+    /** Time before SIGKILL at which all requests still open are refused or failed. */
     private static final long FINISH_BEFORE_KILL_MS = 250;
     /** Time before SIGKILL at which {@link #run} returns even if requests are still open. */
     private static final long EXIT_BEFORE_KILL_MS = 100;
@@ -30,7 +30,7 @@
     private final CountDownLatch drained = new CountDownLatch(1);
 
     /**
-     * Creates a shutdown that has not begun.
+     * Creates a shutdown that {@link #run} begins.
      *
      * @param maxDeadlineMs the longest deadline of all request classes
      */
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -17,7 +17,7 @@
  * and shuts it down gracefully at SIGTERM.
  */
 public final class Main {
-    /** Time limit for retries of what may fail temporarily at start; a sidecar has 10 s to become ready. */
+    /** Time limit for retrying temporary failures at start; a sidecar has 10 s to become ready. */
     private static final long MAX_START_RETRY_MS = 3_000;
     private static final long LISTEN_RETRY_DELAY_MS = 50;
     /** How long the process waits at its end for the last log lines to be written. */
--- a/src/main/java/pondridge/sidecar/StallEstimator.java
+++ b/src/main/java/pondridge/sidecar/StallEstimator.java
@@ -7,10 +7,10 @@
 final class StallEstimator {
     /** Estimate at start: just-in-time compilation stalls the first requests, and no stall was seen yet. */
     private static final long INITIAL_STALL_NANOS = 50_000_000;
-    /** After this time, a stall counts half. */
+    /** In this time, the weight of a stall is halved. */
     private static final double HALF_LIFE_NANOS = 2e9;
 
-    /** The stall that the estimate rests on, not decayed. */
+    /** Duration of the stall that the estimate is based on, not decayed. */
     private long longestNanos = INITIAL_STALL_NANOS;
     /** When that stall ended; 0 before the first call. */
     private long longestAt;
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Returns the longest recent stall in nanoseconds; older stalls count less. */
+    /** Returns the longest recent stall in nanoseconds, decayed by its age. */
     long estimateNanos(long now) {
         if (longestAt == 0) {
             longestAt = now;
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -30,6 +30,7 @@
     private static final long REQUEST_TIMEOUT_NANOS = 1_000_000_000;
     /** On a busy CPU, a sidecar that is not warmed up is better than one that becomes ready too late. */
     private static final long MAX_DURATION_NANOS = 3_000_000_000L;
+    /** Time between two made-up requests on the clock that the separate balancer is given. */
     private static final long REQUEST_INTERVAL_NANOS = 10_000_000;
 
     private final UpstreamClient frontendClient;
@@ -44,7 +45,7 @@
     }
 
     /**
-     * Starts a warm-up; must be called on the event loop, which also makes both callbacks.
+     * Starts a warm-up; must be called on the event loop, on which the callbacks run, too.
      *
      * @param frontend address of this sidecar's frontend
      * @param onDone called within {@link #MAX_DURATION_NANOS}, also if the frontend can't be reached
@@ -96,7 +97,7 @@
         }
     }
 
-    /** Passes made-up requests of all classes, with successful attempts, to a balancer of its own. */
+    /** Passes made-up requests of all classes, with successful attempts, to a separate balancer. */
     private static void warmUpRules(Settings settings) {
         Balancer rules = new Rules(settings, 0, new NoOpActions());
         long now = System.nanoTime() & Long.MAX_VALUE;
--- a/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
+++ b/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
@@ -14,7 +14,7 @@
 class AsyncLogStreamTest {
     private static final int LINE_COUNT = 10_000;
 
-    /** A write to a pipe that nobody reads would block the event loop once the pipe is full. */
+    /** A direct write to a full pipe that nobody reads would block the event loop. */
     @Test
     void dropsLinesInsteadOfBlockingWhenTheLogIsNotRead() throws Exception {
         CountDownLatch unblock = new CountDownLatch(1);
--- a/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -50,7 +50,7 @@
                 (type, entries) -> updates.add(new ListUpdate(type, entries)));
     }
 
-    /** A line may span chunks and a chunk may hold several lines; an invalid entry is skipped alone. */
+    /** A line may span chunks, a chunk may hold several lines, and only the invalid entries are skipped. */
     @Test
     void watchIsParsedByLineAndItsEndIsReportedAsFailure() throws Exception {
         try (FakeUpstream server = new FakeUpstream((socket, head) -> {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The balancer waits between two calls; a failure reported twice would start two calls at once. */
+    /** A failure reported twice would shorten the time that the balancer waits between two calls. */
     @Test
     void reportsEachFailedCallOnce() throws Exception {
         for (String response : List.of("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "", "nonsense\r\n\r\n",
--- a/src/test/java/pondridge/sidecar/StartTimeConverterTest.java
+++ b/src/test/java/pondridge/sidecar/StartTimeConverterTest.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * After a step of the wall clock by an hour, an upstream that had just started was treated as warm, or
-     * stayed cold for an hour.
+     * A step of the wall clock must not make an upstream that has just started warm, nor keep it cold for as
+     * long as the step, such as an hour.
      */
     @Test
     void startsNearAClockStepCountAsRecentButNotAsFuture() {
