--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -157,8 +157,8 @@
         this.maxAttempts = settings.capabilities().maxAttempts();
         this.maxPendingRequests = maxPendingRequests;
         this.automaticDiscovery = settings.discovery() == Balancer.DiscoveryMode.AUTOMATIC;
-        this.upstreamClient = new UpstreamClient(loop, config.settingsReader(), config.sockets() / 2);
-        this.discoveryClient = new DiscoveryClient(loop, config.discovery(), config.known(),
+        this.upstreamClient = new UpstreamClient(loop, config.settingsReader(), config.maxSockets() / 2);
+        this.discoveryClient = new DiscoveryClient(loop, config.discovery(), config.cachedList(),
                 this::onListUpdate);
         this.peerMessenger = new PeerMessenger(config.peers(), (from, message) ->
                 deliver(now -> balancer.peerMessageReceived(now, from, message)));
@@ -170,9 +170,9 @@
     void start(DiscoveryClient.UpstreamList cachedList) {
         readClocks();
         deliver(balancer::start);
-        onListUpdate(ListUpdateType.CACHED, cachedList.targets());
+        onListUpdate(ListUpdateType.CACHED, cachedList.entries());
         if (automaticDiscovery) {
-            discoveryClient.follow();
+            discoveryClient.keepWatchOpen();
         }
         peerMessenger.listen(loop);
         loop.scheduleWithFixedDelay(this::logState, STATE_LOG_INTERVAL_S, STATE_LOG_INTERVAL_S,
@@ -189,7 +189,7 @@
         long now = now();
         System.err.println("state: " + pendingRequestCount() + " requests open, "
                 + upstreamClient.connectionCount() + " connections to upstreams, stalls up to "
-                + stallEstimator.recent(now) / 1_000_000 + " ms; guard: " + guard + "; "
+                + stallEstimator.estimateNanos(now) / 1_000_000 + " ms; guard: " + guard + "; "
                 + balancer.describeState(now));
     }
 
@@ -199,7 +199,7 @@
 
     /** Switches to another address of the discovery service, after a reload of the configuration. */
     void setDiscoveryAddress(InetSocketAddress address) {
-        discoveryClient.move(address);
+        discoveryClient.changeAddress(address);
     }
 
     /**
@@ -266,12 +266,12 @@
                 removed.remove(id);
                 upstreamNames.put(id, entry.uid());
                 upstreams.add(new Upstream(id, indexOf(zoneIndices, entry.zone()),
-                        indexOf(modelIndices, entry.kind()), entry.cell(), entry.state(), entry.weight(),
-                        startTimeConverter.startedAt(id, entry.startedMs(), now)));
+                        indexOf(modelIndices, entry.model()), entry.cell(), entry.state(), entry.weight(),
+                        startTimeConverter.startedAt(id, entry.startedAtMs(), now)));
                 if (entry.state() == UpstreamState.GONE) {
                     removed.add(id);
                 } else {
-                    upstreamClient.updateUpstream(id, entry.endpoint(), entry.startedMs(),
+                    upstreamClient.updateUpstream(id, entry.endpoint(), entry.startedAtMs(),
                             entry.state() == UpstreamState.READY);
                 }
             }
@@ -309,9 +309,9 @@
         pendingRequests.put(id, pending);
         // Reserves time for two stalls, since the client's timeout runs from its send: one may have left the
         // request unread, another may delay the response.
-        long reserve = Math.min(2 * stallEstimator.recent(pending.submittedAt),
+        long reserve = Math.min(2 * stallEstimator.estimateNanos(pending.submittedAt),
                 timeLeft / STALL_RESERVE_DIVISOR);
-        loop.execute(() -> stallEstimator.lasted(now(), now() - pending.submittedAt));
+        loop.execute(() -> stallEstimator.stallEnded(now(), now() - pending.submittedAt));
         // The balancer responds by the deadline. This timer finishes requests to which it has not responded.
         loop.schedule(() -> abort(id, pending, "OVERDUE"), timeLeft - reserve + RESPONSE_MARGIN_NANOS / 2,
                 TimeUnit.NANOSECONDS);
--- a/src/test/java/pondridge/sidecar/SidecarHarness.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -27,7 +27,7 @@
 
     private final EventLoopMonitor times = new EventLoopMonitor();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, times.watching(NioIoHandler.newFactory()));
+            new MultiThreadIoEventLoopGroup(1, times.wrap(NioIoHandler.newFactory()));
     final EventLoop loop = group.next();
     final Frontend frontend;
     final RequestDispatcher dispatcher;
@@ -40,7 +40,7 @@
         Config config = Config.of(json);
         dispatcher = new RequestDispatcher(loop, config, 100);
         frontend = new Frontend(dispatcher, times, config.settingsReader(), 100);
-        loop.submit(() -> dispatcher.start(config.known())).sync();
+        loop.submit(() -> dispatcher.start(config.cachedList())).sync();
         address = (InetSocketAddress) frontend.listen(loop, config.listen()).sync().channel().localAddress();
     }
 
