--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -15,27 +15,28 @@
 import java.util.stream.Collectors;
 
 /**
- * Every decision of one sidecar. Interface, settings, events and actions are in {@code Balancer.java}.
+ * The load balancer of one sidecar. {@link Balancer} describes its events, settings and actions.
  *
- * <p>The ordinary path is {@link Pattern#pick}: a randomly drawn fixed order over all ready servers, the less
- * busy of the pointed entry and the next by this sidecar's own in-flight counts. All else either narrows who
- * may take a request now (gates in {@link Roster}, {@link Health}, {@link Admission}) or keeps the
- * books ({@link Ledger}). Each departure from that path says beside it which danger it meets.
+ * <p>{@link RoundRobin#pick} selects the upstream of an attempt: it cycles through all ready upstreams in a
+ * random order and takes, of two neighbours, the one with fewer attempts of this sidecar in flight.
+ * {@link UpstreamRegistry} (slow start), {@link OutlierDetector}, {@link AdmissionController} and
+ * {@link LoadProber} limit which upstreams are eligible and which requests are sent, {@link PeerWarnings}
+ * exchanges evidence with other sidecars, and {@link RequestTracker} keeps the state of each request.
  */
 public final class Rules implements Balancer {
     private final Settings settings;
     private final Actions actions;
     private final Random random;
-    private final Pattern pattern = new Pattern();
-    private final Ledger ledger = new Ledger();
-    private final Roster roster;
-    private final Health health;
-    private final Admission admission;
-    private final Reports reports;
-    private final Warnings warnings;
+    private final RoundRobin roundRobin = new RoundRobin();
+    private final RequestTracker tracker = new RequestTracker();
+    private final UpstreamRegistry registry;
+    private final OutlierDetector detector;
+    private final AdmissionController admission;
+    private final LoadProber prober;
+    private final PeerWarnings peerWarnings;
     private final TimerQueue timerQueue;
-    private Tally warmTally = new Tally();
-    private Tally coldTally = new Tally();
+    private AttemptCounts warmCounts = new AttemptCounts();
+    private AttemptCounts coldCounts = new AttemptCounts();
 
     /** One instance a sidecar: the seed is its only source of chance. */
     public Rules(Settings settings, long seed, Actions actions) {
@@ -43,24 +44,24 @@
         this.actions = actions;
         this.random = new Random(seed);
         this.timerQueue = new TimerQueue(actions);
-        this.warnings = new Warnings();
-        this.health = new Health();
-        this.roster = new Roster();
-        this.admission = new Admission();
-        this.reports = new Reports();
+        this.peerWarnings = new PeerWarnings();
+        this.detector = new OutlierDetector();
+        this.registry = new UpstreamRegistry();
+        this.admission = new AdmissionController();
+        this.prober = new LoadProber();
     }
 
     @Override
     public void start(long now) {
-        roster.began = now;
-        roster.follow(now);
+        registry.startedAt = now;
+        registry.subscribe(now);
         timerQueue.flush();
     }
 
     @Override
-    public void listUpdated(long now, ListUpdateType kind, List<Upstream> entries) {
-        roster.listChanged(now, kind, entries);
-        admission.drain(now);
+    public void listUpdated(long now, ListUpdateType type, List<Upstream> entries) {
+        registry.listUpdated(now, type, entries);
+        admission.sendQueued(now);
         timerQueue.flush();
     }
 
@@ -69,32 +70,32 @@
         if (request.classIndex() >= settings.classes().size()) {
             throw new IllegalArgumentException("request of unknown class " + request.classIndex());
         }
-        Call call = ledger.open(now, request);
-        admission.admit(now, call);
+        PendingRequest pending = tracker.track(now, request);
+        admission.admit(now, pending);
         timerQueue.flush();
     }
 
     @Override
     public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {
-        Call call = ledger.calls.get(request);
-        if (call != null && attempt < call.attempts.size()) {
-            call.streaming = true;
+        PendingRequest pending = tracker.requests.get(request);
+        if (pending != null && attempt < pending.attempts.size()) {
+            pending.streaming = true;
         }
     }
 
     @Override
     public void attemptEnded(long now, long request, int attempt, long upstream, Outcome outcome,
             long elapsed, boolean requestFinished, float[] load) {
-        ledger.outcome(now, request, attempt, outcome, requestFinished);
-        admission.drain(now);
+        tracker.attemptEnded(now, request, attempt, outcome, requestFinished);
+        admission.sendQueued(now);
         timerQueue.flush();
     }
 
     @Override
     public void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) {
-        Server server = roster.servers.get(upstream);
-        if (server != null) {
-            reports.told(now, server, outcome, load);
+        TrackedUpstream tracked = registry.upstreams.get(upstream);
+        if (tracked != null) {
+            prober.probeEnded(now, tracked, outcome, load);
         }
         timerQueue.flush();
     }
@@ -102,73 +103,73 @@
     @Override
     public void peerMessageReceived(long now, int from, byte[] message) {
         if (from != settings.sidecarIndex()) {
-            warnings.heard(now, message);
+            peerWarnings.messageReceived(now, message);
         }
     }
 
     @Override
     public void clientDisconnected(long now, long request) {
-        Call call = ledger.calls.get(request);
-        if (call != null) {
-            ledger.close(call);
+        PendingRequest pending = tracker.requests.get(request);
+        if (pending != null) {
+            tracker.finish(pending);
         }
     }
 
     @Override
     public void timerFired(long now, long token) {
         timerQueue.ring(now, token);
-        admission.drain(now);
+        admission.sendQueued(now);
         timerQueue.flush();
     }
 
     @Override
     public String describeState(long now) {
-        String usual = Arrays.stream(health.usual).map(each -> Long.toString((long) each.mean / 1_000_000))
-                .collect(Collectors.joining("/"));
-        String line = roster.ready.size() + " ready of " + roster.servers.size() + " known, "
-                + roster.warm(now) + " warm, " + health.shut(now) + " shut; shedding "
-                + Math.round(100 * admission.shedding(now)) + "%, held " + admission.held
-                + ", usual " + usual + " ms; attempts on warm " + warmTally + ", on cold " + coldTally;
-        warmTally = new Tally();
-        coldTally = new Tally();
+        String usualMs = Arrays.stream(detector.latencyEstimators)
+                .map(each -> Long.toString((long) each.mean / 1_000_000)).collect(Collectors.joining("/"));
+        String line = registry.ready.size() + " ready of " + registry.upstreams.size() + " known, "
+                + registry.warmCount(now) + " warm, " + detector.ejectedCount(now) + " shut; shedding "
+                + Math.round(100 * admission.shedProbability(now)) + "%, held " + admission.queuedCount
+                + ", usual " + usualMs + " ms; attempts on warm " + warmCounts + ", on cold " + coldCounts;
+        warmCounts = new AttemptCounts();
+        coldCounts = new AttemptCounts();
         return line;
     }
 
     /** How attempts have ended since the last line on the state, for operators alone. */
-    private static final class Tally {
+    private static final class AttemptCounts {
         private int inTime;
         private int late;
         private int failed;
-        private long took;
+        private long totalDuration;
 
-        void add(Outcome outcome, boolean timely, long time) {
+        void add(Outcome outcome, boolean wasInTime, long duration) {
             if (outcome != Outcome.OK) {
                 failed++;
             } else {
-                inTime += timely ? 1 : 0;
-                late += timely ? 0 : 1;
-                took += time;
+                inTime += wasInTime ? 1 : 0;
+                late += wasInTime ? 0 : 1;
+                totalDuration += duration;
             }
         }
 
         @Override
         public String toString() {
             return inTime + " in time " + late + " late " + failed + " failed, mean "
-                    + took / 1_000_000 / Math.max(1, inTime + late) + " ms";
+                    + totalDuration / 1_000_000 / Math.max(1, inTime + late) + " ms";
         }
     }
 
     /** The order, the pointer and the pick. */
-    private final class Pattern {
-        private final List<Server> order = new ArrayList<>();
-        private int pointer;
+    private final class RoundRobin {
+        private final List<TrackedUpstream> order = new ArrayList<>();
+        private int nextIndex;
 
         /** Draws a uniform permutation of all ready servers; the list comes sorted by id. */
-        void redraw(List<Server> ready) {
+        void reshuffle(List<TrackedUpstream> ready) {
             order.clear();
             order.addAll(ready);
             Collections.shuffle(order, random);
-            pointer = 0;
+            nextIndex = 0;
         }
 
         /**
@@ -176,172 +177,175 @@
          * gates are shut to this request are passed over. Only first attempts turn the pointer: a walk for
          * a further attempt sees few entries and would make the turns uneven. Null if all gates are shut.
          */
-        Server pick(long now, Call call, double excused) {
-            if (!call.attempts.isEmpty() && !ledger.mayTryAgain(now, call)) {
+        TrackedUpstream pick(long now, PendingRequest pending, double toleratedSlowdown) {
+            if (!pending.attempts.isEmpty() && !tracker.mayRetry(now, pending)) {
                 return null;
             }
-            Server due = call.attempts.isEmpty() ? roster.due(now, call, excused) : null;
-            if (due != null) {
-                return due;
+            TrackedUpstream cold = pending.attempts.isEmpty()
+                    ? registry.coldWithCapacity(now, pending, toleratedSlowdown) : null;
+            if (cold != null) {
+                return cold;
             }
-            Server pointed = null;
-            Server passedOver = null;
-            int start = pointer;
+            TrackedUpstream candidate = null;
+            TrackedUpstream firstSkipped = null;
+            int start = nextIndex;
             for (int i = 0; i < order.size(); i++) {
-                int at = (start + i) % order.size();
-                Server server = order.get(at);
-                if (!mayTake(now, server, call, excused)) {
+                int index = (start + i) % order.size();
+                TrackedUpstream upstream = order.get(index);
+                if (!isEligible(now, upstream, pending, toleratedSlowdown)) {
                     continue;
                 }
-                if (pointed != null) {
-                    return server.inFlight < pointed.inFlight ? server : pointed;
+                if (candidate != null) {
+                    return upstream.inFlight < candidate.inFlight ? upstream : candidate;
                 }
-                if (!takesTurn(server, call)) {
-                    passedOver = passedOver == null ? server : passedOver;
+                if (!takesTurn(upstream, pending)) {
+                    firstSkipped = firstSkipped == null ? upstream : firstSkipped;
                     continue;
                 }
-                pointed = server;
-                if (call.attempts.isEmpty()) {
-                    pointer = (at + 1) % order.size();
+                candidate = upstream;
+                if (pending.attempts.isEmpty()) {
+                    nextIndex = (index + 1) % order.size();
                 }
             }
-            return pointed != null ? pointed : passedOver;
+            return candidate != null ? candidate : firstSkipped;
         }
 
         /** The next entries that could take this request, from the pointed one on. */
-        List<Server> ahead(long now, Call call, int most) {
-            List<Server> open = new ArrayList<>(most);
-            for (int i = 0; i < order.size() && open.size() < most; i++) {
-                Server server = order.get((pointer + i) % order.size());
-                if (mayTake(now, server, call, 0)) {
-                    open.add(server);
+        List<TrackedUpstream> nextEligible(long now, PendingRequest pending, int max) {
+            List<TrackedUpstream> eligible = new ArrayList<>(max);
+            for (int i = 0; i < order.size() && eligible.size() < max; i++) {
+                TrackedUpstream upstream = order.get((nextIndex + i) % order.size());
+                if (isEligible(now, upstream, pending, 0)) {
+                    eligible.add(upstream);
                 }
             }
-            return open;
+            return eligible;
         }
 
         /** A slow entry saves up for its turns and is passed over in between. */
-        private boolean takesTurn(Server server, Call call) {
-            server.credit += health.turnShare(server, call);
-            if (server.credit < 1) {
+        private boolean takesTurn(TrackedUpstream upstream, PendingRequest pending) {
+            upstream.turnCredit += detector.turnWeight(upstream, pending);
+            if (upstream.turnCredit < 1) {
                 return false;
             }
-            server.credit -= 1;
+            upstream.turnCredit -= 1;
             return true;
         }
     }
 
     /** All gates, cheapest first; the gate of health is open also to the {@code excused}. */
-    private boolean mayTake(long now, Server server, Call call, double excused) {
-        return ledger.mayGoTo(call, server)
-                && server.inFlight < Math.max(1, (int) server.limit)
-                && (health.excuses(server, excused)
-                        || health.open(now, server, call) && !reports.crowded(server, call))
-                && roster.coldRoom(now, server, call);
+    private boolean isEligible(long now, TrackedUpstream upstream, PendingRequest pending,
+            double toleratedSlowdown) {
+        return tracker.mayUse(pending, upstream)
+                && upstream.inFlight < Math.max(1, (int) upstream.concurrencyLimit)
+                && (detector.ignoresEjection(upstream, toleratedSlowdown)
+                        || detector.isUsable(now, upstream, pending) && !prober.excludes(upstream, pending))
+                && registry.hasColdCapacity(now, upstream, pending);
     }
 
     /** What is known of one upstream. */
-    private static final class Server {
+    private static final class TrackedUpstream {
         Upstream entry;
         int inFlight;
         long coldUntil;
-        double credit;
+        double turnCredit;
         double coldTokens;
-        boolean coldMet;
-        long coldAt;
-        double load;
-        long integratedAt;
-        double exposure;
-        double heard;
+        boolean coldTokensInitialized;
+        long refilledAt;
+        double responseRate;
+        long expectedResponsesAt;
+        double expectedResponses;
+        double receivedResponses;
         int connectFailures;
-        long nextTrial;
-        long backoff;
-        double limit = Admission.FIRST_LIMIT;
-        long lastCut;
-        double holds = Double.MAX_VALUE;
+        long nextTrialAt;
+        long ejectionNanos;
+        double concurrencyLimit = AdmissionController.INITIAL_CONCURRENCY_LIMIT;
+        long limitReducedAt;
+        double reportedInFlight = Double.MAX_VALUE;
         boolean suspect;
-        final DecayingSum warned;
-        final List<Call> askers = new ArrayList<>(2);
+        final DecayingSum warnings;
+        final List<PendingRequest> probingRequests = new ArrayList<>(2);
 
-        Server(Upstream entry, long now, DecayingSum warned) {
+        TrackedUpstream(Upstream entry, long now, DecayingSum warnings) {
             this.entry = entry;
-            this.warned = warned;
-            this.integratedAt = now;
-            this.coldAt = now;
+            this.warnings = warnings;
+            this.expectedResponsesAt = now;
+            this.refilledAt = now;
         }
     }
 
     private static final class Attempt {
-        final Server server;
+        final TrackedUpstream upstream;
         final long sentAt;
-        final int crowd;
-        final double found;
-        boolean out = true;
-        boolean judged;
+        final int inFlightBefore;
+        final double reportedInFlightBefore;
+        boolean outstanding = true;
+        boolean leftWindow;
         boolean mayHaveRun = true;
 
-        Attempt(Server server, long sentAt) {
-            this.server = server;
+        Attempt(TrackedUpstream upstream, long sentAt) {
+            this.upstream = upstream;
             this.sentAt = sentAt;
-            this.crowd = server.inFlight;
-            this.found = server.holds++;
+            this.inFlightBefore = upstream.inFlight;
+            this.reportedInFlightBefore = upstream.reportedInFlight++;
         }
     }
 
-    private static final class Call {
+    private static final class PendingRequest {
         final Request request;
-        final RequestClass kind;
+        final RequestClass requestClass;
         final long deadline;
-        final long aim;
-        final long aimAt;
+        final long latencyTarget;
+        final long latencyTargetAt;
         final List<Attempt> attempts = new ArrayList<>(2);
-        boolean closed;
-        boolean held;
+        boolean finished;
+        boolean queued;
         boolean streaming;
-        boolean asked;
-        int pending;
-        List<Server> looked = List.of();
-        double bar;
-        double expected;
+        boolean probesSent;
+        int probesLeft;
+        List<TrackedUpstream> probed = List.of();
+        double maxReportedInFlight;
+        double expectedDuration;
 
-        Call(Request request, RequestClass kind, long now, long elapsed) {
+        PendingRequest(Request request, RequestClass requestClass, long now, long elapsed) {
             this.request = request;
-            this.kind = kind;
+            this.requestClass = requestClass;
             this.deadline = now + request.timeLeft() - request.responseReserve();
-            double stretched = kind.latencyTarget() + kind.latencyTargetCostFactor() * request.costHint();
-            this.aim = (long) Math.min(stretched, kind.deadline());
-            this.aimAt = now - elapsed - request.responseReserve() / 2
-                    + Math.min(request.timeLeft() + elapsed, aim);
+            double scaled = requestClass.latencyTarget()
+                    + requestClass.latencyTargetCostFactor() * request.costHint();
+            this.latencyTarget = (long) Math.min(scaled, requestClass.deadline());
+            this.latencyTargetAt = now - elapsed - request.responseReserve() / 2
+                    + Math.min(request.timeLeft() + elapsed, latencyTarget);
         }
 
         /** Whether the last attempt is out; there is never more than one. */
-        boolean waiting() {
-            return !attempts.isEmpty() && attempts.get(attempts.size() - 1).out;
+        boolean awaitsOutcome() {
+            return !attempts.isEmpty() && attempts.get(attempts.size() - 1).outstanding;
         }
     }
 
     /** Each request's attempts, what is proven of them, and its one answer. */
-    private final class Ledger {
-        private final Map<Long, Call> calls = new HashMap<>();
+    private final class RequestTracker {
+        private final Map<Long, PendingRequest> requests = new HashMap<>();
 
-        Call open(long now, Request request) {
-            Call call = new Call(request, settings.classes().get(request.classIndex()), now,
-                    admission.elapsed(request));
+        PendingRequest track(long now, Request request) {
+            PendingRequest pending = new PendingRequest(request, settings.classes().get(request.classIndex()),
+                    now, admission.elapsedAtClient(request));
             // Danger: answers of no time would bring alarms an expected time apart to a stand.
-            call.expected = Math.max(call.aim / 1000.0,
-                    health.usual[request.classIndex()].expected(request.costHint()));
-            calls.put(request.id(), call);
-            timerQueue.set(call.deadline, at -> {
-                if (!call.streaming) {
-                    answer(call, FailureReason.DEADLINE);
+            pending.expectedDuration = Math.max(pending.latencyTarget / 1000.0,
+                    detector.latencyEstimators[request.classIndex()].expected(request.costHint()));
+            requests.put(request.id(), pending);
+            timerQueue.set(pending.deadline, at -> {
+                if (!pending.streaming) {
+                    refuseOrFail(pending, FailureReason.DEADLINE);
                 }
             });
-            return call;
+            return pending;
         }
 
         /** The first attempt that may have run, or null while every one is proven not to have. */
-        private Attempt firstDoubt(Call call) {
-            for (Attempt attempt : call.attempts) {
+        private Attempt firstThatMayHaveRun(PendingRequest pending) {
+            for (Attempt attempt : pending.attempts) {
                 if (attempt.mayHaveRun) {
                     return attempt;
                 }
@@ -350,211 +354,218 @@
         }
 
         /** Whether some further attempt is allowed now, whichever server it goes to. */
-        boolean mayTryAgain(long now, Call call) {
-            if (call.closed || call.streaming || now >= call.deadline
-                    || call.waiting() || call.attempts.size() >= settings.capabilities().maxAttempts()) {
+        boolean mayRetry(long now, PendingRequest pending) {
+            if (pending.finished || pending.streaming || now >= pending.deadline || pending.awaitsOutcome()
+                    || pending.attempts.size() >= settings.capabilities().maxAttempts()) {
                 return false;
             }
-            Attempt doubt = firstDoubt(call);
-            return doubt == null || switch (call.kind.semantics()) {
+            Attempt first = firstThatMayHaveRun(pending);
+            return first == null || switch (pending.requestClass.semantics()) {
                 case REPEATABLE -> true;
                 case ONCE -> false;
                 // One quantum is kept back: the send takes effect at the end of this batch.
-                case BY_KEY -> now + settings.tickInterval() < doubt.sentAt + call.kind.keyTtl();
+                case BY_KEY -> now + settings.tickInterval() < first.sentAt + pending.requestClass.keyTtl();
             };
         }
 
         /** Whether the next attempt, if there may be one, may go to this server. */
-        boolean mayGoTo(Call call, Server server) {
-            for (Attempt attempt : call.attempts) {
-                if (attempt.server == server) {
+        boolean mayUse(PendingRequest pending, TrackedUpstream upstream) {
+            for (Attempt attempt : pending.attempts) {
+                if (attempt.upstream == upstream) {
                     return false;
                 }
             }
-            Attempt doubt = firstDoubt(call);
-            if (doubt == null || call.kind.semantics() != Semantics.BY_KEY) {
+            Attempt first = firstThatMayHaveRun(pending);
+            if (first == null || pending.requestClass.semantics() != Semantics.BY_KEY) {
                 return true;
             }
-            Upstream first = doubt.server.entry;
-            return switch (call.kind.scope()) {
+            Upstream firstEntry = first.upstream.entry;
+            return switch (pending.requestClass.scope()) {
                 case ALL -> true;
-                case ZONE -> first.zone() == server.entry.zone();
-                case CELL -> first.cell() == server.entry.cell();
+                case ZONE -> firstEntry.zone() == upstream.entry.zone();
+                case CELL -> firstEntry.cell() == upstream.entry.cell();
             };
         }
 
         /** The one place that sends. */
-        void send(long now, Call call, Server server) {
-            Attempt attempt = new Attempt(server, now);
-            call.attempts.add(attempt);
-            call.held = false;
-            call.asked = false;
-            call.looked = List.of();
-            health.sent(now, server, call);
-            warnings.earn();
-            server.coldTokens -= roster.work(call);
-            server.inFlight++;
+        void send(long now, PendingRequest pending, TrackedUpstream upstream) {
+            Attempt attempt = new Attempt(upstream, now);
+            pending.attempts.add(attempt);
+            pending.queued = false;
+            pending.probesSent = false;
+            pending.probed = List.of();
+            detector.attemptSent(now, upstream, pending);
+            peerWarnings.attemptSent();
+            upstream.coldTokens -= registry.estimatedWork(pending);
+            upstream.inFlight++;
             // Danger: work past its aim keeps a core from work that can still be in time. It is given up only
             // where looks show what an upstream holds; elsewhere given-up work would run on unseen.
-            boolean worthless = reports.looks() && call.kind.lateValueShare() == 0 && call.aimAt > now;
-            actions.send(call.request.id(), server.entry.id(), worthless ? call.aimAt - now : 0);
-            admission.unjudged++;
-            timerQueue.set(Math.max(now, call.aimAt) + 1,
-                    at -> admission.judge(at, attempt, false, call.aim));
-        }
-
-        void outcome(long now, long id, int number, Outcome outcome, boolean ended) {
-            Call call = calls.get(id);
-            if (call == null || number >= call.attempts.size() || !call.attempts.get(number).out) {
+            boolean stopAtTarget = prober.isEnabled() && pending.requestClass.lateValueShare() == 0
+                    && pending.latencyTargetAt > now;
+            actions.send(pending.request.id(), upstream.entry.id(),
+                    stopAtTarget ? pending.latencyTargetAt - now : 0);
+            admission.attemptsInWindow++;
+            timerQueue.set(Math.max(now, pending.latencyTargetAt) + 1,
+                    at -> admission.recordTimeliness(at, attempt, false, pending.latencyTarget));
+        }
+
+        void attemptEnded(long now, long id, int attemptNumber, Outcome outcome, boolean requestFinished) {
+            PendingRequest pending = requests.get(id);
+            if (pending == null || attemptNumber >= pending.attempts.size()
+                    || !pending.attempts.get(attemptNumber).outstanding) {
                 return;
             }
-            Attempt attempt = call.attempts.get(number);
-            attempt.out = false;
+            Attempt attempt = pending.attempts.get(attemptNumber);
+            attempt.outstanding = false;
             attempt.mayHaveRun = !outcome.provesNeverRan();
-            Server server = attempt.server;
-            server.inFlight--;
-            roster.forget(server);
-            health.ended(now, attempt, outcome, call);
-            (attempt.sentAt < server.coldUntil ? coldTally : warmTally)
-                    .add(outcome, now <= call.aimAt, now - attempt.sentAt);
+            TrackedUpstream upstream = attempt.upstream;
+            upstream.inFlight--;
+            registry.removeIfUnused(upstream);
+            detector.attemptEnded(now, attempt, outcome, pending);
+            (attempt.sentAt < upstream.coldUntil ? coldCounts : warmCounts)
+                    .add(outcome, now <= pending.latencyTargetAt, now - attempt.sentAt);
             if (outcome != Outcome.CONNECT_FAILED && outcome != Outcome.NEVER_SENT) {
-                admission.ended(now, attempt, outcome, call);
+                admission.attemptEnded(now, attempt, outcome, pending);
             }
-            admission.settle(attempt);
+            admission.leaveWindow(attempt);
             if (outcome == Outcome.OK) {
-                roster.served.add(now, roster.work(call));
+                registry.servedWork.add(now, registry.estimatedWork(pending));
             }
-            if (ended || call.closed) {
-                close(call);
+            if (requestFinished || pending.finished) {
+                finish(pending);
                 return;
             }
             // Danger: held for a further attempt with every server tried, it would wait in vain.
-            if (mayTryAgain(now, call) && roster.ready.stream().anyMatch(next -> mayGoTo(call, next))
-                    && admission.worthRetry(now, call)) {
-                admission.admit(now, call);
+            if (mayRetry(now, pending) && registry.ready.stream().anyMatch(next -> mayUse(pending, next))
+                    && admission.isRetryWorthwhile(now, pending)) {
+                admission.admit(now, pending);
             } else {
-                answer(call, now >= call.deadline ? FailureReason.DEADLINE : FailureReason.ATTEMPT_FAILED);
+                refuseOrFail(pending,
+                        now >= pending.deadline ? FailureReason.DEADLINE : FailureReason.ATTEMPT_FAILED);
             }
         }
 
         /** Gives the final answer: refused where a client's retry is known to be harmless, else failed. */
-        void answer(Call call, FailureReason reason) {
-            if (call.closed) {
+        void refuseOrFail(PendingRequest pending, FailureReason reason) {
+            if (pending.finished) {
                 return;
             }
-            boolean harmless = firstDoubt(call) == null || call.kind.semantics() == Semantics.REPEATABLE
-                    || call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == KeyScope.ALL;
-            if (harmless) {
-                actions.refuse(call.request.id(), admission.stayAway(call), reason);
+            boolean retryIsSafe = firstThatMayHaveRun(pending) == null
+                    || pending.requestClass.semantics() == Semantics.REPEATABLE
+                    || pending.requestClass.semantics() == Semantics.BY_KEY
+                            && pending.requestClass.scope() == KeyScope.ALL;
+            if (retryIsSafe) {
+                actions.refuse(pending.request.id(), admission.retryAfter(pending), reason);
             } else {
-                actions.fail(call.request.id(), reason);
+                actions.fail(pending.request.id(), reason);
             }
-            close(call);
+            finish(pending);
         }
 
         /** Nothing is sent for a closed request; its outstanding attempt still counts as in flight. */
-        void close(Call call) {
-            if (!call.closed && call.waiting() && !call.streaming && settings.capabilities().cancel()) {
-                actions.cancel(call.request.id(), call.attempts.size() - 1);
+        void finish(PendingRequest pending) {
+            if (!pending.finished && pending.awaitsOutcome() && !pending.streaming
+                    && settings.capabilities().cancel()) {
+                actions.cancel(pending.request.id(), pending.attempts.size() - 1);
             }
-            call.closed = true;
-            call.held = false;
-            if (!call.waiting()) {
-                calls.remove(call.request.id());
+            pending.finished = true;
+            pending.queued = false;
+            if (!pending.awaitsOutcome()) {
+                requests.remove(pending.request.id());
             }
         }
     }
 
     /** The list, the subscription to it, and the budget of cold servers. */
-    private final class Roster {
-        private final TreeMap<Long, Server> servers = new TreeMap<>();
-        private List<Server> ready = List.of();
-        private List<Server> cold = List.of();
-        private final Took coldTook = new Took();
-        private final Took warmTook = new Took();
-        private long nextWarm = Long.MAX_VALUE;
-        private boolean listed;
-        private final DecayingSum served = new DecayingSum(settings.limits().rampTime(), 0);
-        private long retryWait;
-        private long asked;
-        private long began;
-
-        void follow(long now) {
+    private final class UpstreamRegistry {
+        private final TreeMap<Long, TrackedUpstream> upstreams = new TreeMap<>();
+        private List<TrackedUpstream> ready = List.of();
+        private List<TrackedUpstream> cold = List.of();
+        private final DurationRatio coldRatio = new DurationRatio();
+        private final DurationRatio warmRatio = new DurationRatio();
+        private long nextWarmAt = Long.MAX_VALUE;
+        private boolean listReceived;
+        private final DecayingSum servedWork = new DecayingSum(settings.limits().rampTime(), 0);
+        private long retryDelay;
+        private long renewalGeneration;
+        private long startedAt;
+
+        void subscribe(long now) {
             if (settings.discovery() == DiscoveryMode.SUBSCRIBE) {
                 actions.subscribe(true);
-                followAgain(now + settings.limits().listRenewalInterval() / 2);
+                scheduleRenewal(now + settings.limits().listRenewalInterval() / 2);
             }
         }
 
-        private void followAgain(long at) {
-            long mine = ++asked;
+        private void scheduleRenewal(long at) {
+            long generation = ++renewalGeneration;
             timerQueue.set(at, now -> {
-                if (mine == asked) {
-                    follow(now);
+                if (generation == renewalGeneration) {
+                    subscribe(now);
                 }
             });
         }
 
-        void listChanged(long now, ListUpdateType kind, List<Upstream> entries) {
-            if (kind == ListUpdateType.FAILED) {
+        void listUpdated(long now, ListUpdateType type, List<Upstream> entries) {
+            if (type == ListUpdateType.FAILED) {
                 // Danger: a broken subscription is silent from now on. Backs off, with jitter, so that many
                 // sidecars whose calls failed together do not hammer discovery together.
                 long base = Math.max(settings.tickInterval(), settings.limits().listRenewalInterval() / 40);
-                retryWait = Math.max(base,
-                        Math.min(retryWait * 2, settings.limits().listRenewalInterval() / 2));
-                followAgain(now + retryWait / 2 + random.nextLong(retryWait / 2 + 1));
+                retryDelay = Math.max(base,
+                        Math.min(retryDelay * 2, settings.limits().listRenewalInterval() / 2));
+                scheduleRenewal(now + retryDelay / 2 + random.nextLong(retryDelay / 2 + 1));
                 return;
             }
-            if (kind != ListUpdateType.CACHED) {
-                asked++;
-                retryWait = 0;
+            if (type != ListUpdateType.CACHED) {
+                renewalGeneration++;
+                retryDelay = 0;
             }
-            Set<Long> missing = new TreeSet<>(kind == ListUpdateType.DELTA ? Set.of() : servers.keySet());
+            Set<Long> missing = new TreeSet<>(type == ListUpdateType.DELTA ? Set.of() : upstreams.keySet());
             boolean changed = false;
             for (Upstream entry : entries) {
                 missing.remove(entry.id());
-                changed |= update(now, entry);
+                changed |= applyEntry(now, entry);
             }
             for (long id : missing) {
-                changed |= update(now, servers.get(id).entry.gone());
+                changed |= applyEntry(now, upstreams.get(id).entry.gone());
             }
-            listed = true;
+            listReceived = true;
             if (changed) {
-                ready = servers.values().stream().filter(s -> s.entry.state() == UpstreamState.READY)
-                        .toList();
-                findCold(now);
-                pattern.redraw(ready);
-                warnings.name(ready);
+                ready = upstreams.values().stream()
+                        .filter(upstream -> upstream.entry.state() == UpstreamState.READY).toList();
+                refreshCold(now);
+                roundRobin.reshuffle(ready);
+                peerWarnings.setUpstreams(ready);
             }
         }
 
         /** What has left the list is kept no longer than its attempts are out. */
-        void forget(Server server) {
-            if (server.entry.state() == UpstreamState.GONE && server.inFlight == 0) {
-                servers.remove(server.entry.id(), server);
+        void removeIfUnused(TrackedUpstream upstream) {
+            if (upstream.entry.state() == UpstreamState.GONE && upstream.inFlight == 0) {
+                upstreams.remove(upstream.entry.id(), upstream);
             }
         }
 
-        private void findCold(long now) {
-            cold = ready.stream().filter(server -> now < server.coldUntil).toList();
-            nextWarm = cold.stream().mapToLong(server -> server.coldUntil).min().orElse(Long.MAX_VALUE);
+        private void refreshCold(long now) {
+            cold = ready.stream().filter(upstream -> now < upstream.coldUntil).toList();
+            nextWarmAt = cold.stream().mapToLong(upstream -> upstream.coldUntil).min().orElse(Long.MAX_VALUE);
         }
 
         /** The ready servers that are cold; looked for anew only when they may have changed. */
-        private List<Server> cold(long now) {
-            if (now >= nextWarm) {
-                findCold(now);
+        private List<TrackedUpstream> cold(long now) {
+            if (now >= nextWarmAt) {
+                refreshCold(now);
             }
             return cold;
         }
 
-        private int warm(long now) {
+        private int warmCount(long now) {
             return ready.size() - cold(now).size();
         }
 
         /** Takes an answer's time, in parts of the expected, for how full the cold or the warm ones are. */
-        void answered(long now, Attempt attempt, double ratio) {
-            (attempt.sentAt < attempt.server.coldUntil ? coldTook : warmTook).add(now, ratio);
+        void recordDuration(long now, Attempt attempt, double ratio) {
+            (attempt.sentAt < attempt.upstream.coldUntil ? coldRatio : warmRatio).add(now, ratio);
         }
 
         /**
@@ -563,10 +574,10 @@
          * burst it tells more. As much longer as warm answers take than cold ones, so much more goes to the
          * cold: up to one less than what tips one over, and that only as it warms.
          */
-        private double lean(long now, double warmth) {
-            double lean = warmTook.mean(now) / coldTook.mean(now);
-            double most = Math.max(1, settings.limits().overloadFactor() - 1);
-            return Math.min(lean, 1 + warmth * (Math.min(lean, most) - 1));
+        private double coldBias(long now, double progress) {
+            double bias = warmRatio.mean(now) / coldRatio.mean(now);
+            double maxBias = Math.max(1, settings.limits().overloadFactor() - 1);
+            return Math.min(bias, 1 + progress * (Math.min(bias, maxBias) - 1));
         }
 
         /**
@@ -574,11 +585,11 @@
          * a sidecar that comes round to it every few seconds; left for its next turn, most of it would lapse,
          * and what is cold would idle while the warm ones jam.
          */
-        Server due(long now, Call call, double excused) {
-            if (warm(now) > 0) {
-                for (Server server : cold(now)) {
-                    if (mayTake(now, server, call, excused)) {
-                        return server;
+        TrackedUpstream coldWithCapacity(long now, PendingRequest pending, double toleratedSlowdown) {
+            if (warmCount(now) > 0) {
+                for (TrackedUpstream upstream : cold(now)) {
+                    if (isEligible(now, upstream, pending, toleratedSlowdown)) {
+                        return upstream;
                     }
                 }
             }
@@ -586,24 +597,24 @@
         }
 
         /** Takes one line over; true if the set of ready servers changed. */
-        private boolean update(long now, Upstream entry) {
-            Server server = servers.get(entry.id());
-            boolean wasReady = server != null && server.entry.state() == UpstreamState.READY;
+        private boolean applyEntry(long now, Upstream entry) {
+            TrackedUpstream upstream = upstreams.get(entry.id());
+            boolean wasReady = upstream != null && upstream.entry.state() == UpstreamState.READY;
             // A restarted process shares nothing with the one before: not its load, nor its faults.
-            boolean fresh = server == null || entry.startedAt() > server.entry.startedAt();
-            if (fresh) {
-                long since = entry.startedAt() == 0 && listed ? now : entry.startedAt();
-                server = new Server(entry, now, warnings.none());
-                server.credit = random.nextDouble();
-                servers.put(entry.id(), server);
-                if (since > 0 && now < since + settings.limits().rampTime()) {
-                    server.coldUntil = since + settings.limits().rampTime();
+            boolean newProcess = upstream == null || entry.startedAt() > upstream.entry.startedAt();
+            if (newProcess) {
+                long processStartedAt = entry.startedAt() == 0 && listReceived ? now : entry.startedAt();
+                upstream = new TrackedUpstream(entry, now, peerWarnings.newCounter());
+                upstream.turnCredit = random.nextDouble();
+                upstreams.put(entry.id(), upstream);
+                if (processStartedAt > 0 && now < processStartedAt + settings.limits().rampTime()) {
+                    upstream.coldUntil = processStartedAt + settings.limits().rampTime();
                 }
             }
-            server.entry = entry;
-            forget(server);
+            upstream.entry = entry;
+            removeIfUnused(upstream);
             return wasReady != (entry.state() == UpstreamState.READY)
-                    || fresh && entry.state() == UpstreamState.READY;
+                    || newProcess && entry.state() == UpstreamState.READY;
         }
 
         /**
@@ -611,29 +622,29 @@
          * what comparable servers are seen to serve FOR THIS SIDECAR is this sidecar's part, so the parts of
          * all sum up to that share of a server's load, whoever sends how much.
          */
-        boolean coldRoom(long now, Server server, Call call) {
-            if (now >= server.coldUntil) {
+        boolean hasColdCapacity(long now, TrackedUpstream upstream, PendingRequest pending) {
+            if (now >= upstream.coldUntil) {
                 return true;
             }
-            double warmth = Math.max(0, Math.min(1,
-                    1 - (server.coldUntil - now) / (double) settings.limits().rampTime()));
-            double cold = settings.limits().coldCapacityShare();
-            double rate = comparable(now) * (cold + (1 - cold) * warmth) * lean(now, warmth);
+            double progress = Math.max(0, Math.min(1,
+                    1 - (upstream.coldUntil - now) / (double) settings.limits().rampTime()));
+            double coldShare = settings.limits().coldCapacityShare();
+            double rate = warmRate(now) * (coldShare + (1 - coldShare) * progress) * coldBias(now, progress);
             if (rate == 0) {
                 // Nothing to compare with yet. Danger: one at a time is one from every sidecar at once, so a
                 // lone sidecar's habit pushes a cold server over; the warm ones take the request instead.
-                return server.inFlight == 0 && warm(now) == 0;
+                return upstream.inFlight == 0 && warmCount(now) == 0;
             }
-            if (!server.coldMet) {
+            if (!upstream.coldTokensInitialized) {
                 // Danger: a first request free of charge comes from hundreds of sidecars together. Each
                 // starts somewhere within the debt of one request, so that their sum keeps to the rate.
-                server.coldMet = true;
-                server.coldTokens = -random.nextDouble() * work(call);
+                upstream.coldTokensInitialized = true;
+                upstream.coldTokens = -random.nextDouble() * estimatedWork(pending);
             }
             double depth = rate * settings.limits().overloadWindow() / 2;
-            server.coldTokens = Math.min(depth, server.coldTokens + rate * (now - server.coldAt));
-            server.coldAt = now;
-            return server.coldTokens >= 0 && server.inFlight <= 1 + server.limit / 2;
+            upstream.coldTokens = Math.min(depth, upstream.coldTokens + rate * (now - upstream.refilledAt));
+            upstream.refilledAt = now;
+            return upstream.coldTokens >= 0 && upstream.inFlight <= 1 + upstream.concurrencyLimit / 2;
         }
 
         /**
@@ -641,24 +652,24 @@
          * ramp time is not full before a sidecar has run that long; one just started would take its part for
          * next to nothing, and a fleet restarted together would leave what is cold idle.
          */
-        private double comparable(long now) {
-            int warmOnes = warm(now);
+        private double warmRate(long now) {
+            int warm = warmCount(now);
             double window = settings.limits().rampTime();
-            double run = Math.max(settings.limits().overloadWindow(), now - began);
-            return warmOnes == 0 ? 0
-                    : served.value(now) / warmOnes / (window * (1 - Math.exp(-run / window)));
+            double elapsed = Math.max(settings.limits().overloadWindow(), now - startedAt);
+            return warm == 0 ? 0
+                    : servedWork.value(now) / warm / (window * (1 - Math.exp(-elapsed / window)));
         }
 
-        double work(Call call) {
-            return call.request.costHint() > 0 ? call.request.costHint() : call.expected;
+        double estimatedWork(PendingRequest pending) {
+            return pending.request.costHint() > 0 ? pending.request.costHint() : pending.expectedDuration;
         }
     }
 
     /** What answers of late took, in parts of the expected; a few are taken to have been as expected. */
-    private final class Took {
-        private static final int FEW = 3;
-        private final DecayingSum sum = new DecayingSum(8.0 * health.firstBackoff, 0);
-        private final DecayingSum count = new DecayingSum(8.0 * health.firstBackoff, 0);
+    private final class DurationRatio {
+        private static final int PRIOR_COUNT = 3;
+        private final DecayingSum sum = new DecayingSum(8.0 * detector.minLatencyTarget, 0);
+        private final DecayingSum count = new DecayingSum(8.0 * detector.minLatencyTarget, 0);
 
         void add(long now, double ratio) {
             sum.add(now, ratio);
@@ -666,65 +677,65 @@
         }
 
         double mean(long now) {
-            return (sum.value(now) + FEW) / (count.value(now) + FEW);
+            return (sum.value(now) + PRIOR_COUNT) / (count.value(now) + PRIOR_COUNT);
         }
     }
 
     /** Usual time to an answer of one class, and its growth with the hinted cost by least squares. */
-    private static final class Usual {
+    private static final class LatencyEstimator {
         /** About the last 50 answers. */
-        private static final double NEW = 0.02;
+        private static final double MIN_WEIGHT = 0.02;
         double mean;
-        private long seen;
-        private double cost;
-        private double square;
-        private double cross;
+        private long count;
+        private double meanCost;
+        private double meanSquaredCost;
+        private double meanProduct;
 
-        Usual(double first) {
-            mean = first;
+        LatencyEstimator(double initialMean) {
+            mean = initialMean;
         }
 
-        void learn(double took, double hint) {
+        void add(double measured, double costHint) {
             // Cut at three times the expected: one slow server must not become what is usual.
-            double time = Math.min(took, 3 * expected(hint));
-            double part = Math.max(NEW, 1.0 / ++seen);
-            mean += part * (time - mean);
-            cost += part * (hint - cost);
-            square += part * (hint * hint - square);
-            cross += part * (time * hint - cross);
+            double duration = Math.min(measured, 3 * expected(costHint));
+            double weight = Math.max(MIN_WEIGHT, 1.0 / ++count);
+            mean += weight * (duration - mean);
+            meanCost += weight * (costHint - meanCost);
+            meanSquaredCost += weight * (costHint * costHint - meanSquaredCost);
+            meanProduct += weight * (duration * costHint - meanProduct);
         }
 
-        double expected(double hint) {
-            double spread = square - cost * cost;
-            if (hint <= 0 || spread <= 0) {
+        double expected(double costHint) {
+            double costVariance = meanSquaredCost - meanCost * meanCost;
+            if (costHint <= 0 || costVariance <= 0) {
                 return mean;
             }
-            double slope = Math.max(0, (cross - mean * cost) / spread);
-            return Math.max(mean / 4, mean + slope * (hint - cost));
+            double slope = Math.max(0, (meanProduct - mean * meanCost) / costVariance);
+            return Math.max(mean / 4, mean + slope * (costHint - meanCost));
         }
     }
 
     /** What servers of one kind take to answer, in parts of what the class usually takes on any. */
-    private static final class Pace {
+    private static final class ModelSpeed {
         private double mean = 1;
-        private double seen = 2;
+        private double count = 2;
 
-        void learn(double ratio) {
-            seen++;
-            mean += Math.max(0.03, 1 / seen) * (Math.min(ratio, 4) - mean);
+        void add(double ratio) {
+            count++;
+            mean += Math.max(0.03, 1 / count) * (Math.min(ratio, 4) - mean);
         }
     }
 
     /** Evidence about each server, from this sidecar's own attempts. */
-    private final class Health {
+    private final class OutlierDetector {
         /** Part of the aim: a kind that takes no more is far from its limit and takes every turn. */
-        private static final double EASY = 0.25;
-        private static final double STEEP = 1.4;
-        private final Map<Integer, Pace> paces = new TreeMap<>();
-        private double fastest = 1;
+        private static final double FULL_WEIGHT_TARGET_SHARE = 0.25;
+        private static final double SPEED_EXPONENT = 1.4;
+        private final Map<Integer, ModelSpeed> modelSpeeds = new TreeMap<>();
+        private double fastestRatio = 1;
 
-        Pace pace(Server server) {
-            return paces.computeIfAbsent(server.entry.model(), kind -> new Pace());
+        ModelSpeed modelSpeed(TrackedUpstream upstream) {
+            return modelSpeeds.computeIfAbsent(upstream.entry.model(), model -> new ModelSpeed());
         }
 
         /**
@@ -733,73 +744,77 @@
          * turns while its kind answers well within the aim; else as the fastest kind's time is to its own,
          * and somewhat fewer: at the same use, those who wait on a slow machine wait longer.
          */
-        double turnShare(Server server, Call call) {
-            double pace = pace(server).mean;
-            return pace * call.expected < EASY * call.aim ? 1 : Math.min(1, Math.pow(fastest / pace, STEEP));
+        double turnWeight(TrackedUpstream upstream, PendingRequest pending) {
+            double ratio = modelSpeed(upstream).mean;
+            return ratio * pending.expectedDuration < FULL_WEIGHT_TARGET_SHARE * pending.latencyTarget ? 1
+                    : Math.min(1, Math.pow(fastestRatio / ratio, SPEED_EXPONENT));
         }
 
-        private void learnPace(Server server, double ratio) {
-            pace(server).learn(ratio);
-            fastest = paces.values().stream().mapToDouble(pace -> pace.mean).min().orElse(1);
+        private void recordModelSpeed(TrackedUpstream upstream, double ratio) {
+            modelSpeed(upstream).add(ratio);
+            fastestRatio = modelSpeeds.values().stream().mapToDouble(model -> model.mean).min().orElse(1);
         }
 
         /** A part of the aim: a server expected to take longer is of no use to the class. */
-        private static final double USELESS = 0.75;
+        private static final double USABLE_TARGET_SHARE = 0.75;
         /** Machines of one fleet differ about twofold from their mean; beyond that it is a fault. */
-        private static final double SLOW = 2;
+        private static final double MAX_SLOWDOWN = 2;
         /** Of each class, over all servers, starting from a tenth of its aim. */
-        private final Usual[] usual = new Usual[settings.classes().size()];
-        private final long firstBackoff;
+        private final LatencyEstimator[] latencyEstimators = new LatencyEstimator[settings.classes().size()];
+        private final long minLatencyTarget;
         /** Attempts of the last eight aims. */
-        private final DecayingSum turns;
-        private final double lately;
+        private final DecayingSum recentAttempts;
+        private final double recentWindow;
 
-        Health() {
-            for (int i = 0; i < usual.length; i++) {
-                usual[i] = new Usual(settings.classes().get(i).latencyTarget() / 10.0);
+        OutlierDetector() {
+            for (int i = 0; i < latencyEstimators.length; i++) {
+                latencyEstimators[i] = new LatencyEstimator(settings.classes().get(i).latencyTarget() / 10.0);
             }
-            firstBackoff = settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(1);
-            lately = 8.0 * firstBackoff;
-            turns = new DecayingSum(lately, 0);
+            minLatencyTarget =
+                    settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(1);
+            recentWindow = 8.0 * minLatencyTarget;
+            recentAttempts = new DecayingSum(recentWindow, 0);
         }
 
-        private void integrate(long now, Server server) {
-            server.exposure += server.load * (now - server.integratedAt);
-            server.integratedAt = now;
+        private void updateExpectedResponses(long now, TrackedUpstream upstream) {
+            upstream.expectedResponses += upstream.responseRate * (now - upstream.expectedResponsesAt);
+            upstream.expectedResponsesAt = now;
         }
 
-        void sent(long now, Server server, Call call) {
-            integrate(now, server);
-            server.load += 1 / call.expected;
-            turns.add(now, 1);
-            if (server.nextTrial > 0) {
-                server.backoff = Math.min(server.backoff * 2, patience(now) * 8);
-                server.nextTrial = now + server.backoff;
+        void attemptSent(long now, TrackedUpstream upstream, PendingRequest pending) {
+            updateExpectedResponses(now, upstream);
+            upstream.responseRate += 1 / pending.expectedDuration;
+            recentAttempts.add(now, 1);
+            if (upstream.nextTrialAt > 0) {
+                upstream.ejectionNanos = Math.min(upstream.ejectionNanos * 2, initialEjectionNanos(now) * 8);
+                upstream.nextTrialAt = now + upstream.ejectionNanos;
             }
         }
 
-        boolean open(long now, Server server, Call call) {
-            integrate(now, server);
-            boolean closed = server.connectFailures > 0 || warnings.suspects(now, server)
-                    || current(server) > SLOW && current(server) * call.expected > USELESS * call.aim;
-            if (!closed) {
-                server.nextTrial = 0;
+        boolean isUsable(long now, TrackedUpstream upstream, PendingRequest pending) {
+            updateExpectedResponses(now, upstream);
+            boolean outlier = upstream.connectFailures > 0 || peerWarnings.isSuspect(now, upstream)
+                    || slowdown(upstream) > MAX_SLOWDOWN && slowdown(upstream) * pending.expectedDuration
+                            > USABLE_TARGET_SHARE * pending.latencyTarget;
+            if (!outlier) {
+                upstream.nextTrialAt = 0;
                 return true;
             }
-            if (server.nextTrial == 0) {
-                server.backoff = patience(now);
-                server.nextTrial = now + server.backoff / 2 + random.nextLong(server.backoff + 1);
+            if (upstream.nextTrialAt == 0) {
+                upstream.ejectionNanos = initialEjectionNanos(now);
+                upstream.nextTrialAt =
+                        now + upstream.ejectionNanos / 2 + random.nextLong(upstream.ejectionNanos + 1);
             }
-            return now >= server.nextTrial;
+            return now >= upstream.nextTrialAt;
         }
 
         /**
          * How long a shut gate first stays so. Danger: where each of many sidecars comes to an upstream but
          * rarely, its trials are as many as its turns, and their sum leaves a jammed one as full as ever.
          */
-        private long patience(long now) {
-            double turn = roster.ready.size() * lately / Math.max(1, turns.value(now));
-            return (long) Math.max(firstBackoff, Math.min(2 * turn, 32.0 * firstBackoff));
+        private long initialEjectionNanos(long now) {
+            double cycle = registry.ready.size() * recentWindow / Math.max(1, recentAttempts.value(now));
+            return (long) Math.max(minLatencyTarget, Math.min(2 * cycle, 32.0 * minLatencyTarget));
         }
 
         /**
@@ -807,481 +822,484 @@
          * pattern, and one common to most would press all work on the few that are left. Gates that all shut
          * do not count; where more than half are shut, only those slower than the middle one stay so.
          */
-        double excusable(long now, Call call) {
-            long open = roster.ready.stream().filter(server -> open(now, server, call)).count();
-            if (open == 0 || 2 * open >= roster.ready.size()) {
-                return open == 0 ? Double.MAX_VALUE : 0;
+        double toleratedSlowdown(long now, PendingRequest pending) {
+            long usable = registry.ready.stream().filter(each -> isUsable(now, each, pending)).count();
+            if (usable == 0 || 2 * usable >= registry.ready.size()) {
+                return usable == 0 ? Double.MAX_VALUE : 0;
             }
-            double[] slowness = roster.ready.stream().mapToDouble(this::current).sorted().toArray();
-            return slowness[slowness.length / 2];
+            double[] slowdowns = registry.ready.stream().mapToDouble(this::slowdown).sorted().toArray();
+            return slowdowns[slowdowns.length / 2];
         }
 
-        boolean excuses(Server server, double excused) {
-            return excused == Double.MAX_VALUE || server.connectFailures == 0 && current(server) <= excused;
+        boolean ignoresEjection(TrackedUpstream upstream, double toleratedSlowdown) {
+            return toleratedSlowdown == Double.MAX_VALUE
+                    || upstream.connectFailures == 0 && slowdown(upstream) <= toleratedSlowdown;
         }
 
         /** How many gates are shut, for operators: it tries none. */
-        long shut(long now) {
-            return roster.ready.stream().filter(server -> server.nextTrial > now).count();
+        long ejectedCount(long now) {
+            return registry.ready.stream().filter(upstream -> upstream.nextTrialAt > now).count();
         }
 
         /** How many times slower than usual it answers; two answers are taken for granted. */
-        private double current(Server server) {
-            return (server.exposure + 2) / (server.heard + 2);
+        private double slowdown(TrackedUpstream upstream) {
+            return (upstream.expectedResponses + 2) / (upstream.receivedResponses + 2);
         }
 
-        void ended(long now, Attempt attempt, Outcome outcome, Call call) {
-            Server server = attempt.server;
-            integrate(now, server);
-            server.load = server.inFlight == 0 ? 0 : Math.max(0, server.load - 1 / call.expected);
+        void attemptEnded(long now, Attempt attempt, Outcome outcome, PendingRequest pending) {
+            TrackedUpstream upstream = attempt.upstream;
+            updateExpectedResponses(now, upstream);
+            upstream.responseRate = upstream.inFlight == 0 ? 0
+                    : Math.max(0, upstream.responseRate - 1 / pending.expectedDuration);
             switch (outcome) {
                 case OK -> {
-                    reports.learn(attempt, now - attempt.sentAt);
-                    roster.answered(now, attempt, (now - attempt.sentAt) / call.expected);
-                    learnPace(server, (now - attempt.sentAt) / call.expected);
-                    usual[call.request.classIndex()].learn(now - attempt.sentAt, call.request.costHint());
-                    heard(server);
+                    prober.recordDuration(attempt, now - attempt.sentAt);
+                    registry.recordDuration(now, attempt, (now - attempt.sentAt) / pending.expectedDuration);
+                    recordModelSpeed(upstream, (now - attempt.sentAt) / pending.expectedDuration);
+                    latencyEstimators[pending.request.classIndex()]
+                            .add(now - attempt.sentAt, pending.request.costHint());
+                    responseReceived(upstream);
                 }
                 case ERROR, RESET -> {
                     // Danger: fast errors empty the in-flight count and win turns. One is as bad as an answer
                     // at twice the aim: a stray one shuts nothing, two in a row do.
-                    heard(server);
-                    server.exposure += 2 * call.aim / call.expected;
+                    responseReceived(upstream);
+                    upstream.expectedResponses += 2 * pending.latencyTarget / pending.expectedDuration;
                 }
-                case CONNECT_FAILED -> server.connectFailures++;
+                case CONNECT_FAILED -> upstream.connectFailures++;
                 default -> { }
             }
         }
 
-        private void heard(Server server) {
-            double keep = server.nextTrial > 0 ? 0.5 : 0.9;
-            server.exposure *= keep;
-            server.heard = server.heard * keep + 1;
-            server.connectFailures = 0;
+        private void responseReceived(TrackedUpstream upstream) {
+            double decay = upstream.nextTrialAt > 0 ? 0.5 : 0.9;
+            upstream.expectedResponses *= decay;
+            upstream.receivedResponses = upstream.receivedResponses * decay + 1;
+            upstream.connectFailures = 0;
         }
     }
 
-    /** One tenant's held work and what it has had lately of its quota. */
-    private static final class Share {
-        /**
-         * Newest first. Danger: first-in first-out under overload lets all wait until every answer is late,
-         * and stays so after the overload has gone; this way some wait in vain and the rest are in time.
-         */
-        private final ArrayDeque<Call> held = new ArrayDeque<>();
-        private final double quota;
-        private final DecayingSum spent;
-        private long skippedAt;
+    /** The queued requests of one tenant, and its recent usage of its quota. */
+    private static final class TenantQueue {
+        // Newest first. In order of arrival, an overload delays every request until it is late, even after
+        // the overload has ended; newest first, some wait in vain and the others are in time.
+        private final ArrayDeque<PendingRequest> queued = new ArrayDeque<>();
+        private final double quotaPerSecond;
+        private final DecayingSum recentWork;  // expected duration of its attempts, in ns
+        private long skippedInPass;  // the pass of sendQueued in which its first request could not be sent
 
-        Share(double quota, double window) {
-            this.quota = quota;
-            this.spent = new DecayingSum(window, 0);
+        TenantQueue(double quotaPerSecond, double window) {
+            this.quotaPerSecond = quotaPerSecond;
+            this.recentWork = new DecayingSum(window, 0);
         }
 
-        double used(long now) {
-            return spent.value(now) / quota;
+        double relativeUsage(long now) {
+            return recentWork.value(now) / quotaPerSecond;
         }
     }
 
-    /** Learned concurrency limits, held work, refusals, and the budget of further attempts. */
-    private final class Admission {
-        /** Room for two-choice to act; many sidecars start together, so no more before anything is known. */
-        static final double FIRST_LIMIT = 2;
-        /** Part of the aim: what takes longer leaves no time for a second try with its own delays. */
-        private static final double LATE = 0.4;
-        /** Enough that a jam of later tries does not unseat the first ones at once. */
-        private static final int MANY_VOTES = 1000;
-        /** Four in five in time is sound enough: the rest is chance and single faults. */
-        private static final double ENOUGH = 1.25;
-        /** So many for each upstream are no jam; and one alone might wait for a silent upstream. */
-        private static final double LEAST = 4;
-        /**
-         * So many attempts in time are taken for granted. Danger: a sidecar with little traffic sees a few
-         * attempts in two aims, and two late ones among them, by chance, would have it shed a third.
-         */
-        private static final int FEW = 4;
-        /** What is not tried is as likely to be in time as not. */
-        private static final double UNKNOWN = 0.5;
-        private final Share[] shares = new Share[Math.max(1, settings.tenants().size())];
-        private int held;
-        private long drains;
-        private final long[] firstLeft = new long[settings.classes().size()];
-        private final int[] firstVotes = new int[settings.classes().size()];
-        /**
-         * Over two aims: whether an attempt was in time shows within one. Danger: shedding keeps newer
-         * evidence away, and older would shed long after its jam.
-         */
-        private final DecayingSum tried = new DecayingSum(2.0 * health.firstBackoff, 0);
-        private final DecayingSum inTime = new DecayingSum(2.0 * health.firstBackoff, 0);
-        /**
-         * How many attempts may be out that are not yet known to be in time or late. Danger: with hundreds of
-         * upstreams and sidecars no limit per upstream binds, and the first requests of all sidecars, at once
-         * after a restart or a burst, are a jam. It opens twofold a round trip, and later grows by one.
-         */
+    /** Decides whether a request is sent, queued or shed, and adapts the limits of concurrent attempts. */
+    private final class AdmissionController {
+        /** Enough to choose between two; with more, sidecars that start together would overload upstreams. */
+        static final double INITIAL_CONCURRENCY_LIMIT = 2;
+        /** Share of the latency target: a slower attempt leaves no time for a retry with its own delays. */
+        private static final double SLOW_TARGET_SHARE = 0.4;
+        private static final int MAX_VOTES = 1000;  // many: client retries may outnumber the rest for a while
+        /** An in-time ratio of four in five is healthy: the rest is chance and single faults. */
+        private static final double INVERSE_HEALTHY_RATIO = 1.25;
+        /** Too few to overload an upstream; a single one might wait for an upstream that does not respond. */
+        private static final double MIN_WINDOW_PER_UPSTREAM = 4;
+        // Added to the attempts and to those in time. Otherwise a sidecar with little traffic, which sees a
+        // few attempts in two latency targets, would shed a third when two of them are late by chance.
+        private static final int PRIOR_IN_TIME = 4;
+        private static final double SHED_IN_TIME_SHARE = 0.5;  // counts as in time with even chance
+        private final TenantQueue[] tenantQueues = new TenantQueue[Math.max(1, settings.tenants().size())];
+        private int queuedCount;  // over all tenants
+        private long passes;  // calls of sendQueued
+        private final long[] usualTimeLeft = new long[settings.classes().size()];  // by class, in ns
+        private final int[] usualTimeLeftVotes = new int[settings.classes().size()];
+        // Over two latency targets: within one it is known whether an attempt is in time. Shedding keeps
+        // newer evidence away, so that with a longer memory it would continue long after the overload.
+        private final DecayingSum recentAttempts = new DecayingSum(2.0 * detector.minLatencyTarget, 0);
+        private final DecayingSum recentInTime = new DecayingSum(2.0 * detector.minLatencyTarget, 0);
+        // Attempt window: maximum number of attempts of which it is not yet known whether they are in time.
+        // With hundreds of upstreams and sidecars, concurrency limits per upstream have no effect, and the
+        // first requests of all sidecars after a restart or a burst would overload upstreams. It doubles each
+        // round trip in the initial growth phase, and then grows by one.
         private double window;
-        private boolean opening = true;
-        private long lastCut;
-        private int unjudged;
-        private final DecayingSum spared = new DecayingSum(2.0 * health.firstBackoff, 0);
+        private boolean initialGrowth = true;
+        private long windowReducedAt;  // shrinks at most once a round trip
+        private int attemptsInWindow;
+        private final DecayingSum recentShed = new DecayingSum(2.0 * detector.minLatencyTarget, 0);
 
-        Admission() {
-            for (int i = 0; i < shares.length; i++) {
+        AdmissionController() {
+            for (int i = 0; i < tenantQueues.length; i++) {
                 double quota = settings.tenants().isEmpty() ? 1 : settings.tenants().get(i).quotaPerSecond();
-                // Four aims: long against answers, short against a burst of some seconds.
-                shares[i] = new Share(quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).latencyTarget());
+                // Four latency targets: longer than responses take, shorter than a burst of some seconds.
+                tenantQueues[i] = new TenantQueue(quota > 0 ? quota : 1,
+                        4.0 * settings.classes().get(0).latencyTarget());
             }
         }
 
         /**
-         * Time the client has spent on earlier tries. A first try has a fixed part of the deadline left, the
-         * same each time; a last one has what remains of the whole. The commonest value marks the first tries
-         * (it loses its place once two of three differ) and any other tells the time spent.
+         * Time in ns since the client first sent this request. Without a client retry, all requests of a
+         * class arrive with the same time left; a client retry arrives with the rest of the class's deadline.
+         * The most common time left (replaced once two of three differ) is that without a client retry.
          */
-        long elapsed(Request request) {
-            int kind = request.classIndex();
-            long left = request.timeLeft();
-            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.tickInterval()) {
-                firstVotes[kind] = Math.min(firstVotes[kind] + 2, MANY_VOTES);
+        long elapsedAtClient(Request request) {
+            int classIndex = request.classIndex();
+            long timeLeft = request.timeLeft();
+            if (Math.abs(timeLeft - usualTimeLeft[classIndex]) <= 2 * settings.tickInterval()) {
+                usualTimeLeftVotes[classIndex] = Math.min(usualTimeLeftVotes[classIndex] + 2, MAX_VOTES);
                 return 0;
             }
-            if (--firstVotes[kind] < 0) {
-                firstLeft[kind] = left;
-                firstVotes[kind] = 0;
+            if (--usualTimeLeftVotes[classIndex] < 0) {
+                usualTimeLeft[classIndex] = timeLeft;
+                usualTimeLeftVotes[classIndex] = 0;
                 return 0;
             }
-            return Math.max(0, settings.classes().get(kind).deadline() - left);
+            return Math.max(0, settings.classes().get(classIndex).deadline() - timeLeft);
         }
 
-        /** Sends a request now, or holds it while it can still be answered within its aim. */
-        void admit(long now, Call call) {
-            if (now >= call.deadline || roster.ready.isEmpty()) {
-                ledger.answer(call, now >= call.deadline
+        /** Sends a request now, or queues it as long as it can be in time; sheds it under overload. */
+        void admit(long now, PendingRequest pending) {
+            if (now >= pending.deadline || registry.ready.isEmpty()) {
+                tracker.refuseOrFail(pending, now >= pending.deadline
                         ? FailureReason.DEADLINE : FailureReason.NO_UPSTREAM);
                 return;
             }
-            int ease = call.request.clientRetry() ? 3 : 1;
-            if (call.attempts.isEmpty() && !call.asked && random.nextDouble() < ease * shedding(now)) {
-                spared.add(now, 1);
-                ledger.answer(call, FailureReason.SHED);
+            int retryMultiplier = pending.request.clientRetry() ? 3 : 1;
+            if (pending.attempts.isEmpty() && !pending.probesSent
+                    && random.nextDouble() < retryMultiplier * shedProbability(now)) {
+                recentShed.add(now, 1);
+                tracker.refuseOrFail(pending, FailureReason.SHED);
                 return;
             }
-            if (reports.ask(now, call)) {
+            if (prober.probeBeforeSend(now, pending)) {
                 return;
             }
-            if (call.attempts.isEmpty() && now + call.expected / 2 >= call.aimAt) {
-                // a client's later try that can hardly be in time
-                ledger.answer(call, FailureReason.TOO_LATE);
-            } else if (held > 0 || !place(now, call)) {
-                call.held = true;
-                share(call).held.push(call);
-                held++;
-                long hopeless = call.aimAt - (long) (1.5 * call.expected);  // later, half would be late
-                timerQueue.set(Math.max(now + 1, hopeless), at -> {
-                    if (call.held) {
-                        ledger.answer(call, FailureReason.HELD);
+            if (pending.attempts.isEmpty() && now + pending.expectedDuration / 2 >= pending.latencyTargetAt) {
+                // unlikely to be in time; usually a client retry
+                tracker.refuseOrFail(pending, FailureReason.TOO_LATE);
+            } else if (queuedCount > 0 || !trySend(now, pending)) {
+                pending.queued = true;
+                tenantQueue(pending).queued.push(pending);
+                queuedCount++;
+                long latestSendAt = pending.latencyTargetAt  // of those sent later, half would be late
+                        - (long) (1.5 * pending.expectedDuration);
+                timerQueue.set(Math.max(now + 1, latestSendAt), at -> {
+                    if (pending.queued) {
+                        tracker.refuseOrFail(pending, FailureReason.HELD);
                     }
                 });
-                drain(now);
+                sendQueued(now);
             }
         }
 
         /**
-         * The part of new requests to shed. Danger: where many sidecars keep one in flight each, no limit per
-         * upstream binds; once work is answered too late, upstreams work for nobody until much less is sent.
-         * Nothing is shed while four fifths of the recent attempts were in time; below, the cube lets a jam
-         * drain where a share would feed it. What is shed comes again: marked retries are shed more readily.
-         * Danger: shed requests bring no evidence, and sidecars that shed together would not see their
-         * upstreams recover. What was shed counts as an even chance, which keeps a few coming in any jam.
+         * Probability that a new request is shed. Where many sidecars have one attempt in flight each, no
+         * limit per upstream has an effect, and once responses are late, upstreams do useless work until much
+         * less is sent. Nothing is shed while four fifths of the recent attempts were in time; below, the
+         * share sent is the cube of the in-time ratio, as a proportional share would sustain the overload.
+         * Clients send shed requests again, so marked client retries are shed more often. Shed requests give
+         * no evidence: sidecars that shed together would not notice that upstreams recover. Each counts as in
+         * time with even chance, so that a few are sent in any overload.
          */
-        private double shedding(long now) {
-            double unknown = spared.value(now);
-            double borne = Math.min(1, ENOUGH * (inTime.value(now) + UNKNOWN * unknown + FEW)
-                    / (tried.value(now) + unknown + FEW));
-            return 1 - borne * borne * borne;
+        private double shedProbability(long now) {
+            double shedCount = recentShed.value(now);
+            double ratioToHealthy = Math.min(1, INVERSE_HEALTHY_RATIO
+                    * (recentInTime.value(now) + SHED_IN_TIME_SHARE * shedCount + PRIOR_IN_TIME)
+                    / (recentAttempts.value(now) + shedCount + PRIOR_IN_TIME));
+            return 1 - ratioToHealthy * ratioToHealthy * ratioToHealthy;
         }
 
-        private Share share(Call call) {
-            return shares[Math.min(call.request.tenant(), shares.length - 1)];
+        private TenantQueue tenantQueue(PendingRequest pending) {
+            return tenantQueues[Math.min(pending.request.tenant(), tenantQueues.length - 1)];
         }
 
-        private boolean place(long now, Call call) {
-            if (unjudged >= (int) window()) {
+        private boolean trySend(long now, PendingRequest pending) {
+            if (attemptsInWindow >= (int) currentWindow()) {
                 return false;
             }
-            Server server = pattern.pick(now, call, 0);
-            if (server == null) {
-                server = pattern.pick(now, call, health.excusable(now, call));
+            TrackedUpstream upstream = roundRobin.pick(now, pending, 0);
+            if (upstream == null) {
+                upstream = roundRobin.pick(now, pending, detector.toleratedSlowdown(now, pending));
             }
-            if (server == null) {
+            if (upstream == null) {
                 return false;
             }
-            ledger.send(now, call, server);
-            share(call).spent.add(now, call.expected);
+            tracker.send(now, pending, upstream);
+            tenantQueue(pending).recentWork.add(now, pending.expectedDuration);
             return true;
         }
 
-        /** Gives freed room to held work, of the tenant that had the least of its quota first. */
-        void drain(long now) {
-            drains++;
-            while (held > 0) {
-                Share poorest = null;
-                for (Share share : shares) {
-                    if (!share.held.isEmpty() && share.skippedAt != drains
-                            && (poorest == null || share.used(now) < poorest.used(now))) {
-                        poorest = share;
+        /** Sends queued requests while there is capacity, from the tenant with the least relative usage. */
+        void sendQueued(long now) {
+            passes++;
+            while (queuedCount > 0) {
+                TenantQueue leastUsed = null;
+                for (TenantQueue queue : tenantQueues) {
+                    if (!queue.queued.isEmpty() && queue.skippedInPass != passes && (leastUsed == null
+                            || queue.relativeUsage(now) < leastUsed.relativeUsage(now))) {
+                        leastUsed = queue;
                     }
                 }
-                if (poorest == null) {
+                if (leastUsed == null) {
                     return;
                 }
-                Call call = poorest.held.peek();
-                if (call.held && !place(now, call)) {
-                    poorest.skippedAt = drains;
+                PendingRequest pending = leastUsed.queued.peek();
+                if (pending.queued && !trySend(now, pending)) {
+                    leastUsed.skippedInPass = passes;
                 } else {
-                    poorest.held.remove(call);
-                    held--;
+                    leastUsed.queued.remove(pending);
+                    queuedCount--;
                 }
             }
         }
 
-        void ended(long now, Attempt attempt, Outcome outcome, Call call) {
-            Server server = attempt.server;
+        void attemptEnded(long now, Attempt attempt, Outcome outcome, PendingRequest pending) {
+            TrackedUpstream upstream = attempt.upstream;
             if (outcome != Outcome.CANCELLED) {
-                judge(now, attempt, outcome == Outcome.OK && now <= call.aimAt, call.aim);
-            }
-            Usual usual = health.usual[call.request.classIndex()];
-            double scaled = (now - attempt.sentAt) * usual.mean / call.expected;
-            if (outcome == Outcome.REJECTED || scaled > LATE * call.aim) {
-                if (attempt.sentAt >= server.lastCut) {
-                    server.limit = Math.max(0.1, server.limit * 0.8);
-                    server.lastCut = now;
+                recordTimeliness(now, attempt, outcome == Outcome.OK && now <= pending.latencyTargetAt,
+                        pending.latencyTarget);
+            }
+            LatencyEstimator estimator = detector.latencyEstimators[pending.request.classIndex()];
+            double scaledDuration = (now - attempt.sentAt) * estimator.mean / pending.expectedDuration;
+            if (outcome == Outcome.REJECTED || scaledDuration > SLOW_TARGET_SHARE * pending.latencyTarget) {
+                if (attempt.sentAt >= upstream.limitReducedAt) {
+                    upstream.concurrencyLimit = Math.max(0.1, upstream.concurrencyLimit * 0.8);
+                    upstream.limitReducedAt = now;
                 }
-            } else if (outcome == Outcome.OK && attempt.crowd + 1 >= server.limit / 2) {
-                server.limit += Math.min(0.2 * server.limit, 1 / server.limit);  // one a round trip
+            } else if (outcome == Outcome.OK && attempt.inFlightBefore + 1 >= upstream.concurrencyLimit / 2) {
+                upstream.concurrencyLimit +=  // at most one per round trip
+                        Math.min(0.2 * upstream.concurrencyLimit, 1 / upstream.concurrencyLimit);
             }
         }
 
         /**
-         * Takes an attempt for evidence as soon as it is known to be in time or late. Danger: counted when it
-         * ends, one that is never answered speaks of a jam a whole deadline old.
+         * Counts an attempt as in time or late as soon as that is known. Counted when it ends, an attempt
+         * without a response would report an overload a whole deadline after it began.
          */
-        void judge(long now, Attempt attempt, boolean timely, double aim) {
-            if (attempt.judged) {
+        void recordTimeliness(long now, Attempt attempt, boolean inTime, double latencyTarget) {
+            if (attempt.leftWindow) {
                 return;
             }
-            tried.add(now, 1);
-            inTime.add(now, timely ? 1 : 0);
-            resize(now, attempt, timely);
-            settle(attempt);
-            if (!timely && now - attempt.sentAt > LATE * aim) {
-                warnings.warn(now, attempt.server);
+            recentAttempts.add(now, 1);
+            recentInTime.add(now, inTime ? 1 : 0);
+            resizeWindow(now, attempt, inTime);
+            leaveWindow(attempt);
+            if (!inTime && now - attempt.sentAt > SLOW_TARGET_SHARE * latencyTarget) {
+                peerWarnings.warn(now, attempt.upstream);
             }
         }
 
-        /** A sidecar just started begins with twice its part, since most will find upstreams sound. */
-        private double window() {
-            double least = LEAST * Math.max(1, (double) roster.ready.size() / settings.sidecarCount());
-            return Math.max(window, opening ? 2 * least : least);
+        /** At least a minimum, at first twice as high: most sidecars that start find healthy upstreams. */
+        private double currentWindow() {
+            double min = MIN_WINDOW_PER_UPSTREAM
+                    * Math.max(1, (double) registry.ready.size() / settings.sidecarCount());
+            return Math.max(window, initialGrowth ? 2 * min : min);
         }
 
-        /** A full window grows while enough is in time; else a late attempt shrinks it, once a round trip. */
-        private void resize(long now, Attempt attempt, boolean timely) {
-            boolean sound = ENOUGH * (inTime.value(now) + FEW) >= tried.value(now) + FEW;
-            double open = window();
-            if (timely && sound && 2 * unjudged >= open) {
-                window = open + (opening ? 1 : Math.min(0.2 * open, 1 / open));
-            } else if (!timely && !sound && attempt.sentAt >= lastCut) {
-                window = 0.8 * Math.min(open, unjudged);
-                opening = false;
-                lastCut = now;
+        /** Grows a half-used window at a healthy in-time ratio; else a late attempt shrinks it. */
+        private void resizeWindow(long now, Attempt attempt, boolean inTime) {
+            boolean healthy = INVERSE_HEALTHY_RATIO * (recentInTime.value(now) + PRIOR_IN_TIME)
+                    >= recentAttempts.value(now) + PRIOR_IN_TIME;
+            double current = currentWindow();
+            if (inTime && healthy && 2 * attemptsInWindow >= current) {
+                window = current + (initialGrowth ? 1 : Math.min(0.2 * current, 1 / current));
+            } else if (!inTime && !healthy && attempt.sentAt >= windowReducedAt) {
+                window = 0.8 * Math.min(current, attemptsInWindow);
+                initialGrowth = false;
+                windowReducedAt = now;
             }
         }
 
-        /** Frees the attempt's place in the window. */
-        void settle(Attempt attempt) {
-            if (!attempt.judged) {
-                attempt.judged = true;
-                unjudged--;
+        /** Removes the attempt from the attempt window. */
+        void leaveWindow(Attempt attempt) {
+            if (!attempt.leftWindow) {
+                attempt.leftWindow = true;
+                attemptsInWindow--;
             }
         }
 
-        /** Under overload a further attempt takes the place of a first one. */
-        boolean worthRetry(long now, Call call) {
-            return now < call.aimAt && shedding(now) < 0.8;
+        /** Under overload, a retry would displace the first attempt of another request. */
+        boolean isRetryWorthwhile(long now, PendingRequest pending) {
+            return now < pending.latencyTargetAt && shedProbability(now) < 0.8;
         }
 
-        long stayAway(Call call) {
+        long retryAfter(PendingRequest pending) {
             return settings.capabilities().retryAfter()
-                    ? Math.min(settings.capabilities().maxRetryAfter(), call.aim / 2) : 0;
+                    ? Math.min(settings.capabilities().maxRetryAfter(), pending.latencyTarget / 2) : 0;
         }
     }
 
     /**
-     * Warnings among sidecars, where they may send messages. Danger: with hundreds of upstreams and sidecars
-     * each sidecar comes to one upstream every few seconds; what it learns there alone comes too late, and
-     * each pays for it. So the others are told which upstream kept an attempt past its aim. A lost warning is
-     * one sidecar's evidence less; one that is wrong shuts a gate, which trials open again.
+     * Exchanges warnings with the other sidecars, where peer messages are possible. With hundreds of
+     * upstreams and sidecars, each sidecar uses a given upstream only every few seconds: its own evidence
+     * comes too late and costs each sidecar late attempts. So each sidecar reports upstreams that kept an
+     * attempt past its latency target. A lost warning is one sidecar's evidence less; trial attempts correct
+     * a wrong one.
      */
-    private final class Warnings {
-        /** Part of all worth that warnings may be charged. */
-        private static final double CHEAP = 0.01;
-        private static final int LARGEST = 256;
-        /** Charged beside a message's bytes, as measured; so names go together where credit is short. */
-        private static final int HEAD = 8;
-        private static final int MOST_NAMES = 4;
-        /** So many above what is usual among all upstreams are no chance. */
-        private static final double MANY = 3;
-        private final boolean allowed = settings.capabilities().peers() && settings.sidecarCount() > 1;
-        /** Bytes that one attempt pays for: each message is charged once for every receiver. */
-        private final double earned = settings.costs().peerMessage() == 0 ? LARGEST
-                : CHEAP * LARGEST / (settings.costs().peerMessage()
+    private final class PeerWarnings {
+        private static final double MAX_COST_SHARE = 0.01;  // of the total value, spent on peer messages
+        private static final int MAX_MESSAGE_BYTES = 256;
+        /** Charged per message besides its bytes, so a short budget sends several ids in one message. */
+        private static final int MESSAGE_OVERHEAD_BYTES = 8;
+        private static final int MAX_IDS_PER_MESSAGE = 4;
+        private static final double MIN_SUSPECT_WARNINGS = 3;  // above twice the average: no longer chance
+        private final boolean enabled = settings.capabilities().peers() && settings.sidecarCount() > 1;
+        /** What each attempt adds to the message budget; a message is charged once for every receiver. */
+        private final double bytesPerAttempt = settings.costs().peerMessage() == 0 ? MAX_MESSAGE_BYTES
+                : MAX_COST_SHARE * MAX_MESSAGE_BYTES / (settings.costs().peerMessage()
                         * Math.max(1, settings.sidecarCount() - 1));
-        /** Four aims: long enough to see several sidecars' turns, short against a fault. */
+        /** Four latency targets, in ns: covers the turns of several sidecars, and is shorter than a fault. */
         private final double window = 4.0 * settings.classes().stream().mapToLong(RequestClass::latencyTarget)
                 .min().orElse(1);
-        private final DecayingSum all = none();
-        private Map<Integer, Server> named = Map.of();
-        private final ArrayDeque<Integer> untold = new ArrayDeque<>(MOST_NAMES);
-        private double credit;
+        private final DecayingSum allWarnings = newCounter();
+        private Map<Integer, TrackedUpstream> upstreamsByHash = Map.of();
+        private final ArrayDeque<Integer> unsentHashes = new ArrayDeque<>(MAX_IDS_PER_MESSAGE);
+        private double byteBudget;  // message budget: bytes that may be sent now
 
-        DecayingSum none() {
+        DecayingSum newCounter() {
             return new DecayingSum(window, 0);
         }
 
-        /** Names on the way are four bytes; the id has the same ones at every sidecar. */
-        void name(List<Server> ready) {
-            named = new HashMap<>(2 * ready.size());
-            ready.forEach(server -> named.put(Long.hashCode(server.entry.id()), server));
+        /** Messages identify an upstream by the hash of its id: four bytes, the same at every sidecar. */
+        void setUpstreams(List<TrackedUpstream> ready) {
+            upstreamsByHash = new HashMap<>(2 * ready.size());
+            ready.forEach(upstream -> upstreamsByHash.put(Long.hashCode(upstream.entry.id()), upstream));
         }
 
-        void earn() {
-            credit = Math.min(LARGEST, credit + earned);
+        void attemptSent() {
+            byteBudget = Math.min(MAX_MESSAGE_BYTES, byteBudget + bytesPerAttempt);
         }
 
-        void warn(long now, Server server) {
-            if (!allowed) {
+        void warn(long now, TrackedUpstream upstream) {
+            if (!enabled) {
                 return;
             }
-            count(now, server);
-            if (untold.size() == MOST_NAMES) {
-                untold.remove();
+            count(now, upstream);
+            if (unsentHashes.size() == MAX_IDS_PER_MESSAGE) {
+                unsentHashes.remove();
             }
-            untold.add(Long.hashCode(server.entry.id()));
-            int cost = HEAD + Integer.BYTES * untold.size();
-            if (credit >= cost) {
-                credit -= cost;
-                ByteBuffer names = ByteBuffer.allocate(Integer.BYTES * untold.size());
-                untold.forEach(names::putInt);
-                untold.clear();
-                actions.sendToPeer(Actions.ALL_PEERS, names.array());
+            unsentHashes.add(Long.hashCode(upstream.entry.id()));
+            int bytes = MESSAGE_OVERHEAD_BYTES + Integer.BYTES * unsentHashes.size();
+            if (byteBudget >= bytes) {
+                byteBudget -= bytes;
+                ByteBuffer hashes = ByteBuffer.allocate(Integer.BYTES * unsentHashes.size());
+                unsentHashes.forEach(hashes::putInt);
+                unsentHashes.clear();
+                actions.sendToPeer(Actions.ALL_PEERS, hashes.array());
             }
         }
 
-        void heard(long now, byte[] message) {
-            for (ByteBuffer names = ByteBuffer.wrap(message); names.remaining() >= Integer.BYTES;) {
-                Server server = named.get(names.getInt());
-                if (server != null) {
-                    count(now, server);
+        void messageReceived(long now, byte[] message) {
+            for (ByteBuffer hashes = ByteBuffer.wrap(message); hashes.remaining() >= Integer.BYTES;) {
+                TrackedUpstream upstream = upstreamsByHash.get(hashes.getInt());
+                if (upstream != null) {
+                    count(now, upstream);
                 }
             }
         }
 
-        private void count(long now, Server server) {
-            server.warned.add(now, 1);
-            all.add(now, 1);
+        private void count(long now, TrackedUpstream upstream) {
+            upstream.warnings.add(now, 1);
+            allWarnings.add(now, 1);
         }
 
-        /** Whether so much more is said of it than of others; a common trouble makes none a suspect. */
-        boolean suspects(long now, Server server) {
-            double usual = MANY + 2 * all.value(now) / Math.max(1, roster.ready.size());
-            server.suspect = server.warned.value(now) > (server.suspect ? usual / 2 : usual);
-            return server.suspect;
+        /** Whether it has far more warnings than the average, so a common fault makes none a suspect. */
+        boolean isSuspect(long now, TrackedUpstream upstream) {
+            double threshold = MIN_SUSPECT_WARNINGS
+                    + 2 * allWarnings.value(now) / Math.max(1, registry.ready.size());
+            upstream.suspect = upstream.warnings.value(now) > (upstream.suspect ? threshold / 2 : threshold);
+            return upstream.suspect;
         }
     }
 
     /**
-     * Looking before a send, where upstreams tell what they hold and a probe is all but free. Danger: with
-     * hundreds of sidecars all of an upstream's work is other sidecars', which own in-flight counts never
-     * show, and the cycle feeds a busy upstream as readily as an idle one. So the next few entries are asked,
-     * and those that hold more than is usual, or do not answer, are shut to this request. Who of the others
-     * takes it is the pattern's choice; what was told counts for one request's look and no longer.
+     * Sends load probes before an attempt, where upstreams report their requests in flight and probes cost
+     * next to nothing. With hundreds of sidecars, nearly all work of an upstream comes from others: this
+     * sidecar's own counts do not show it, and a busy upstream gets as many turns as an idle one. Of the next
+     * few upstreams in turn, those that report more than is usual or do not respond are excluded, and
+     * {@link RoundRobin} picks among the others. A result is used for one request only.
      */
-    private final class Reports {
-        /** So many that most of them are seldom all busy. */
-        private static final int ASKED = 5;
-        /** Part of all worth that looking may be charged. */
-        private static final double CHEAP = 0.01;
-        /** Part of the aim that a look may take; a healthy upstream answers beside its queue at once. */
-        private static final int PATIENCE = 20;
-        private final int field = settings.reportFields().indexOf("rif");
-        private final boolean pays = field >= 0 && settings.capabilities().probes()
-                && settings.costs().probe() * ASKED <= CHEAP;
-        /** Part of the aim that an upstream's work in hand may take up; the rest is for its spread. */
-        private static final double FULL = 0.6;
-        private double usual;
-        private double turnTime;
-
-        /** With no more sidecars than upstreams, own counts show enough of what an upstream holds. */
-        boolean looks() {
-            return pays && settings.sidecarCount() > roster.ready.size();
-        }
-
-        /** Asks the entries next in turn; true if the request waits for what they tell. */
-        boolean ask(long now, Call call) {
-            if (!looks() || call.asked) {
+    private final class LoadProber {
+        private static final int PROBES_PER_REQUEST = 5;  // enough that they are rarely all busy
+        private static final double MAX_COST_SHARE = 0.01;  // of the total value, spent on probes
+        /** Probe timeout as a part of the latency target; healthy upstreams respond without queueing. */
+        private static final int PROBE_TIMEOUT_DIVISOR = 20;
+        private final int inFlightField = settings.reportFields().indexOf("rif");
+        private final boolean affordable = inFlightField >= 0 && settings.capabilities().probes()
+                && settings.costs().probe() * PROBES_PER_REQUEST <= MAX_COST_SHARE;
+        /** Share of the latency target that requests in flight may take; the rest is for their variance. */
+        private static final double MAX_TARGET_SHARE = 0.6;
+        private double usualInFlight;  // moving average of the reports
+        private double nanosPerRequest;  // moving average per request in flight
+
+        /** With no more sidecars than upstreams, its own counts show enough of an upstream's load. */
+        boolean isEnabled() {
+            return affordable && settings.sidecarCount() > registry.ready.size();
+        }
+
+        /** Probes the next upstreams in turn; true if the request waits for their results. */
+        boolean probeBeforeSend(long now, PendingRequest pending) {
+            if (!isEnabled() || pending.probesSent) {
                 return false;
             }
-            call.asked = true;
-            call.looked = pattern.ahead(now, call, ASKED);
-            for (Server server : call.looked) {
-                server.holds = Double.MAX_VALUE;
-                server.askers.add(call);
-                actions.probe(server.entry.id());
+            pending.probesSent = true;
+            pending.probed = roundRobin.nextEligible(now, pending, PROBES_PER_REQUEST);
+            for (TrackedUpstream upstream : pending.probed) {
+                upstream.reportedInFlight = Double.MAX_VALUE;
+                upstream.probingRequests.add(pending);
+                actions.probe(upstream.entry.id());
             }
-            call.pending = call.looked.size();
-            timerQueue.set(now + call.aim / PATIENCE, at -> decide(at, call, call.pending));
-            return call.pending > 0;
+            pending.probesLeft = pending.probed.size();
+            timerQueue.set(now + pending.latencyTarget / PROBE_TIMEOUT_DIVISOR,
+                    at -> probesEnded(at, pending, pending.probesLeft));
+            return pending.probesLeft > 0;
         }
 
-        void told(long now, Server server, Outcome outcome, float[] load) {
-            if (outcome == Outcome.OK && load.length > field && field >= 0) {
-                server.holds = load[field];
-                usual += 0.05 * (server.holds - usual);
+        void probeEnded(long now, TrackedUpstream upstream, Outcome outcome, float[] load) {
+            if (outcome == Outcome.OK && load.length > inFlightField && inFlightField >= 0) {
+                upstream.reportedInFlight = load[inFlightField];
+                usualInFlight += 0.05 * (upstream.reportedInFlight - usualInFlight);
             }
-            List<Call> askers = List.copyOf(server.askers);
-            server.askers.clear();
-            askers.forEach(call -> decide(now, call, 1));
+            List<PendingRequest> waiting = List.copyOf(upstream.probingRequests);
+            upstream.probingRequests.clear();
+            waiting.forEach(pending -> probesEnded(now, pending, 1));
         }
 
-        /** All told or out of patience: sets the bar that shuts the crowded ones, and goes on. */
-        private void decide(long now, Call call, int answers) {
-            if (call.pending == 0 || (call.pending -= answers) > 0 || call.closed) {
+        /** After the last result or the timeout, admits the request, or refuses it if all are overloaded. */
+        private void probesEnded(long now, PendingRequest pending, int count) {
+            if (pending.probesLeft == 0 || (pending.probesLeft -= count) > 0 || pending.finished) {
                 return;
             }
-            double least = Double.MAX_VALUE;
-            for (Server server : call.looked) {
-                least = Math.min(least, server.holds);
+            double lowest = Double.MAX_VALUE;
+            for (TrackedUpstream upstream : pending.probed) {
+                lowest = Math.min(lowest, upstream.reportedInFlight);
             }
-            double full = FULL * call.aim / Math.max(1, turnTime) - 1;
-            if (least == Double.MAX_VALUE) {
-                call.looked = List.of();
-            } else if (least > Math.max(usual, full)) {
-                ledger.answer(call, FailureReason.CROWDED);
+            double maxReported = MAX_TARGET_SHARE * pending.latencyTarget / Math.max(1, nanosPerRequest) - 1;
+            if (lowest == Double.MAX_VALUE) {
+                pending.probed = List.of();
+            } else if (lowest > Math.max(usualInFlight, maxReported)) {
+                tracker.refuseOrFail(pending, FailureReason.CROWDED);
                 return;
             }
-            call.bar = least <= usual ? usual : full;
-            admission.admit(now, call);
+            pending.maxReportedInFlight = lowest <= usualInFlight ? usualInFlight : maxReported;
+            admission.admit(now, pending);
         }
 
-        /** What an answer took for each request that the upstream had in hand, this one included. */
-        void learn(Attempt attempt, double took) {
-            if (attempt.found < Double.MAX_VALUE) {
-                double each = took / (attempt.found + 1);
-                turnTime += (turnTime == 0 ? 1 : 0.05) * (each - turnTime);
+        /** Learns the duration per request in flight at the upstream, this one included. */
+        void recordDuration(Attempt attempt, double duration) {
+            if (attempt.reportedInFlightBefore < Double.MAX_VALUE) {
+                double perRequest = duration / (attempt.reportedInFlightBefore + 1);
+                nanosPerRequest += (nanosPerRequest == 0 ? 1 : 0.05) * (perRequest - nanosPerRequest);
             }
         }
 
-        boolean crowded(Server server, Call call) {
-            return !call.looked.isEmpty() && (server.holds > call.bar || !call.looked.contains(server));
+        boolean excludes(TrackedUpstream upstream, PendingRequest pending) {
+            return !pending.probed.isEmpty() && (upstream.reportedInFlight > pending.maxReportedInFlight
+                    || !pending.probed.contains(upstream));
         }
     }
 }
