--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -38,7 +38,7 @@
     private AttemptCounts warmCounts = new AttemptCounts();
     private AttemptCounts coldCounts = new AttemptCounts();
 
-    /** One instance a sidecar: the seed is its only source of chance. */
+    /** The seed is the only source of randomness. */
     public Rules(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -135,12 +135,12 @@
         return line;
     }
 
-    /** How attempts have ended since the last line on the state, for operators alone. */
+    /** Outcomes of the attempts since the last {@link #describeState}. */
     private static final class AttemptCounts {
         private int inTime;
         private int late;
         private int failed;
-        private long totalDuration;
+        private long totalDuration;  // of the successful attempts, in ns
 
         void add(Outcome outcome, boolean wasInTime, long duration) {
             if (outcome != Outcome.OK) {
@@ -159,12 +159,12 @@
         }
     }
 
-    /** The order, the pointer and the pick. */
+    /** Weighted round robin over the ready upstreams, with a choice between two neighbours. */
     private final class RoundRobin {
         private final List<TrackedUpstream> order = new ArrayList<>();
-        private int nextIndex;
+        private int nextIndex;  // into order: where the next pick starts
 
-        /** Draws a uniform permutation of all ready servers; the list comes sorted by id. */
+        /** Puts the ready upstreams, given in order of their ids, into a new random order. */
         void reshuffle(List<TrackedUpstream> ready) {
             order.clear();
             order.addAll(ready);
@@ -173,9 +173,9 @@
         }
 
         /**
-         * The less busy of the pointed entry and the next, a tie going to the pointed one; entries whose
-         * gates are shut to this request are passed over. Only first attempts turn the pointer: a walk for
-         * a further attempt sees few entries and would make the turns uneven. Null if all gates are shut.
+         * The upstream for the next attempt, or null if none is eligible: of the next two eligible ones that
+         * with fewer attempts in flight, on a tie the first. Only the first attempt of a request advances the
+         * index: for a retry few upstreams are eligible, which would make the turns uneven.
          */
         TrackedUpstream pick(long now, PendingRequest pending, double toleratedSlowdown) {
             if (!pending.attempts.isEmpty() && !tracker.mayRetry(now, pending)) {
@@ -210,7 +210,7 @@
             return candidate != null ? candidate : firstSkipped;
         }
 
-        /** The next entries that could take this request, from the pointed one on. */
+        /** Up to {@code max} upstreams eligible for this request, in the order of their turns. */
         List<TrackedUpstream> nextEligible(long now, PendingRequest pending, int max) {
             List<TrackedUpstream> eligible = new ArrayList<>(max);
             for (int i = 0; i < order.size() && eligible.size() < max; i++) {
@@ -222,7 +222,7 @@
             return eligible;
         }
 
-        /** A slow entry saves up for its turns and is passed over in between. */
+        /** Adds the weight to the credit; from a credit of 1 the upstream takes this turn, which costs 1. */
         private boolean takesTurn(TrackedUpstream upstream, PendingRequest pending) {
             upstream.turnCredit += detector.turnWeight(upstream, pending);
             if (upstream.turnCredit < 1) {
@@ -233,38 +233,38 @@
         }
     }
 
-    /** All gates, cheapest first; the gate of health is open also to the {@code excused}. */
+    /** Whether the upstream may get an attempt now. Ejections up to {@code toleratedSlowdown} are ignored. */
     private boolean isEligible(long now, TrackedUpstream upstream, PendingRequest pending,
             double toleratedSlowdown) {
-        return tracker.mayUse(pending, upstream)
+        return tracker.mayUse(pending, upstream)  // the cheapest checks come first
                 && upstream.inFlight < Math.max(1, (int) upstream.concurrencyLimit)
                 && (detector.ignoresEjection(upstream, toleratedSlowdown)
                         || detector.isUsable(now, upstream, pending) && !prober.excludes(upstream, pending))
                 && registry.hasColdCapacity(now, upstream, pending);
     }
 
-    /** What is known of one upstream. */
+    /** State of one upstream. Counts are of this sidecar's attempts; times are in nanoseconds. */
     private static final class TrackedUpstream {
-        Upstream entry;
+        Upstream entry;  // from the latest list
         int inFlight;
-        long coldUntil;
-        double turnCredit;
-        double coldTokens;
+        long coldUntil;  // end of its slow start
+        double turnCredit;  // of weighted round robin: grows by the weight at each turn, a turn costs 1
+        double coldTokens;  // work in ns that may be sent during slow start; negative after overspending
         boolean coldTokensInitialized;
-        long refilledAt;
-        double responseRate;
-        long expectedResponsesAt;
-        double expectedResponses;
-        double receivedResponses;
-        int connectFailures;
-        long nextTrialAt;
-        long ejectionNanos;
+        long refilledAt;  // time of the last refill of coldTokens
+        double responseRate;  // responses expected per ns: sum of 1 / expectedDuration of attempts in flight
+        long expectedResponsesAt;  // time up to which expectedResponses is integrated
+        double expectedResponses;  // decaying count of the responses due so far
+        double receivedResponses;  // decaying count
+        int connectFailures;  // since the last response
+        long nextTrialAt;  // 0 while it is not ejected
+        long ejectionNanos;  // ejection duration: time from one trial attempt to the next
         double concurrencyLimit = AdmissionController.INITIAL_CONCURRENCY_LIMIT;
         long limitReducedAt;
-        double reportedInFlight = Double.MAX_VALUE;
-        boolean suspect;
-        final DecayingSum warnings;
-        final List<PendingRequest> probingRequests = new ArrayList<>(2);
+        double reportedInFlight = Double.MAX_VALUE;  // by its last probe, plus attempts since; MAX: unknown
+        boolean suspect;  // ejected because of warnings
+        final DecayingSum warnings;  // of this sidecar and of its peers
+        final List<PendingRequest> probingRequests = new ArrayList<>(2);  // waiting for its load probe
 
         TrackedUpstream(Upstream entry, long now, DecayingSum warnings) {
             this.entry = entry;
@@ -274,14 +274,15 @@
         }
     }
 
+    /** One attempt. It occupies the attempt window until it is known whether it is in time. */
     private static final class Attempt {
         final TrackedUpstream upstream;
         final long sentAt;
-        final int inFlightBefore;
-        final double reportedInFlightBefore;
-        boolean outstanding = true;
+        final int inFlightBefore;  // this sidecar's other attempts at the upstream when this one was sent
+        final double reportedInFlightBefore;  // the upstream's reportedInFlight when this one was sent
+        boolean outstanding = true;  // has no outcome yet
         boolean leftWindow;
-        boolean mayHaveRun = true;
+        boolean mayHaveRun = true;  // false once its outcome proves that the upstream did not process it
 
         Attempt(TrackedUpstream upstream, long sentAt) {
             this.upstream = upstream;
@@ -291,21 +292,22 @@
         }
     }
 
+    /** State of a request until it is finished and has no attempt outstanding; times in nanoseconds. */
     private static final class PendingRequest {
         final Request request;
         final RequestClass requestClass;
-        final long deadline;
-        final long latencyTarget;
-        final long latencyTargetAt;
+        final long deadline;  // time at which the final response is due
+        final long latencyTarget;  // a duration: the class's target, scaled with the request's cost
+        final long latencyTargetAt;  // time until which a response has its full value
         final List<Attempt> attempts = new ArrayList<>(2);
-        boolean finished;
+        boolean finished;  // has its final response, or the client disconnected
         boolean queued;
-        boolean streaming;
-        boolean probesSent;
-        int probesLeft;
+        boolean streaming;  // the response has begun
+        boolean probesSent;  // load probes were sent for its next attempt
+        int probesLeft;  // without a result so far
         List<TrackedUpstream> probed = List.of();
-        double maxReportedInFlight;
-        double expectedDuration;
+        double maxReportedInFlight;  // upstreams that reported more are not eligible
+        double expectedDuration;  // of one attempt
 
         PendingRequest(Request request, RequestClass requestClass, long now, long elapsed) {
             this.request = request;
@@ -318,7 +320,7 @@
                     + Math.min(request.timeLeft() + elapsed, latencyTarget);
         }
 
-        /** Whether the last attempt is out; there is never more than one. */
+        /** Whether the last attempt is outstanding; no earlier one ever is. */
         boolean awaitsOutcome() {
             return !attempts.isEmpty() && attempts.get(attempts.size() - 1).outstanding;
         }
