--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -326,14 +326,14 @@
         }
     }
 
-    /** Each request's attempts, what is proven of them, and its one answer. */
+    /** Keeps each request until it is finished: its attempts, which retries are safe, its final response. */
     private final class RequestTracker {
         private final Map<Long, PendingRequest> requests = new HashMap<>();
 
         PendingRequest track(long now, Request request) {
             PendingRequest pending = new PendingRequest(request, settings.classes().get(request.classIndex()),
                     now, admission.elapsedAtClient(request));
-            // Danger: answers of no time would bring alarms an expected time apart to a stand.
+            // Used as a divisor, so it must not be 0 where responses take no time.
             pending.expectedDuration = Math.max(pending.latencyTarget / 1000.0,
                     detector.latencyEstimators[request.classIndex()].expected(request.costHint()));
             requests.put(request.id(), pending);
@@ -345,7 +345,7 @@
             return pending;
         }
 
-        /** The first attempt that may have run, or null while every one is proven not to have. */
+        /** The first attempt that may have had an effect, or null if all are proven not to have run. */
         private Attempt firstThatMayHaveRun(PendingRequest pending) {
             for (Attempt attempt : pending.attempts) {
                 if (attempt.mayHaveRun) {
@@ -355,7 +355,7 @@
             return null;
         }
 
-        /** Whether some further attempt is allowed now, whichever server it goes to. */
+        /** Whether another attempt is allowed now, whichever upstream it goes to. */
         boolean mayRetry(long now, PendingRequest pending) {
             if (pending.finished || pending.streaming || now >= pending.deadline || pending.awaitsOutcome()
                     || pending.attempts.size() >= settings.capabilities().maxAttempts()) {
@@ -365,12 +365,12 @@
             return first == null || switch (pending.requestClass.semantics()) {
                 case REPEATABLE -> true;
                 case ONCE -> false;
-                // One quantum is kept back: the send takes effect at the end of this batch.
+                // One tick earlier, as the send takes effect only at the end of this batch of events.
                 case BY_KEY -> now + settings.tickInterval() < first.sentAt + pending.requestClass.keyTtl();
             };
         }
 
-        /** Whether the next attempt, if there may be one, may go to this server. */
+        /** Each upstream gets at most one attempt; a keyed repeat goes only where its key is known. */
         boolean mayUse(PendingRequest pending, TrackedUpstream upstream) {
             for (Attempt attempt : pending.attempts) {
                 if (attempt.upstream == upstream) {
@@ -389,7 +389,7 @@
             };
         }
 
-        /** The one place that sends. */
+        /** Sends the next attempt. All attempts of all requests are sent here. */
         void send(long now, PendingRequest pending, TrackedUpstream upstream) {
             Attempt attempt = new Attempt(upstream, now);
             pending.attempts.add(attempt);
@@ -400,8 +400,8 @@
             peerWarnings.attemptSent();
             upstream.coldTokens -= registry.estimatedWork(pending);
             upstream.inFlight++;
-            // Danger: work past its aim keeps a core from work that can still be in time. It is given up only
-            // where looks show what an upstream holds; elsewhere given-up work would run on unseen.
+            // Work past its latency target occupies a core that other work needs to be in time. It is stopped
+            // only where load probes show an upstream's work; elsewhere it would continue unnoticed.
             boolean stopAtTarget = prober.isEnabled() && pending.requestClass.lateValueShare() == 0
                     && pending.latencyTargetAt > now;
             actions.send(pending.request.id(), upstream.entry.id(),
@@ -437,7 +437,7 @@
                 finish(pending);
                 return;
             }
-            // Danger: held for a further attempt with every server tried, it would wait in vain.
+            // After an attempt on every upstream, a request queued for a retry could never be sent.
             if (mayRetry(now, pending) && registry.ready.stream().anyMatch(next -> mayUse(pending, next))
                     && admission.isRetryWorthwhile(now, pending)) {
                 admission.admit(now, pending);
@@ -447,7 +447,7 @@
             }
         }
 
-        /** Gives the final answer: refused where a client's retry is known to be harmless, else failed. */
+        /** Gives the final response: a refusal if a client retry is known to be safe, else a failure. */
         void refuseOrFail(PendingRequest pending, FailureReason reason) {
             if (pending.finished) {
                 return;
@@ -464,7 +464,7 @@
             finish(pending);
         }
 
-        /** Nothing is sent for a closed request; its outstanding attempt still counts as in flight. */
+        /** Ends a request. An outstanding attempt still counts as in flight; no other one is sent. */
         void finish(PendingRequest pending) {
             if (!pending.finished && pending.awaitsOutcome() && !pending.streaming
                     && settings.capabilities().cancel()) {
