--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -478,19 +478,19 @@
         }
     }
 
-    /** The list, the subscription to it, and the budget of cold servers. */
+    /** The listed upstreams, the subscription to the list, and the budget of upstreams in slow start. */
     private final class UpstreamRegistry {
         private final TreeMap<Long, TrackedUpstream> upstreams = new TreeMap<>();
         private List<TrackedUpstream> ready = List.of();
         private List<TrackedUpstream> cold = List.of();
         private final DurationRatio coldRatio = new DurationRatio();
         private final DurationRatio warmRatio = new DurationRatio();
-        private long nextWarmAt = Long.MAX_VALUE;
+        private long nextWarmAt = Long.MAX_VALUE;  // time at which the next slow start ends
         private boolean listReceived;
         private final DecayingSum servedWork = new DecayingSum(settings.limits().rampTime(), 0);
-        private long retryDelay;
-        private long renewalGeneration;
-        private long startedAt;
+        private long retryDelay;  // of a failed subscription, in ns
+        private long renewalGeneration;  // a scheduled renewal of an older generation does nothing
+        private long startedAt;  // of this sidecar
 
         void subscribe(long now) {
             if (settings.discovery() == DiscoveryMode.SUBSCRIBE) {
@@ -510,8 +510,8 @@
 
         void listUpdated(long now, ListUpdateType type, List<Upstream> entries) {
             if (type == ListUpdateType.FAILED) {
-                // Danger: a broken subscription is silent from now on. Backs off, with jitter, so that many
-                // sidecars whose calls failed together do not hammer discovery together.
+                // A failed subscription delivers nothing more. It is renewed with backoff and jitter, so that
+                // many sidecars whose calls failed together do not overload discovery together.
                 long base = Math.max(settings.tickInterval(), settings.limits().listRenewalInterval() / 40);
                 retryDelay = Math.max(base,
                         Math.min(retryDelay * 2, settings.limits().listRenewalInterval() / 2));
@@ -541,7 +541,7 @@
             }
         }
 
-        /** What has left the list is kept no longer than its attempts are out. */
+        /** Removes an upstream that has left the list once it has no attempt in flight. */
         void removeIfUnused(TrackedUpstream upstream) {
             if (upstream.entry.state() == UpstreamState.GONE && upstream.inFlight == 0) {
                 upstreams.remove(upstream.entry.id(), upstream);
@@ -553,7 +553,7 @@
             nextWarmAt = cold.stream().mapToLong(upstream -> upstream.coldUntil).min().orElse(Long.MAX_VALUE);
         }
 
-        /** The ready servers that are cold; looked for anew only when they may have changed. */
+        /** The ready upstreams in slow start; computed again only when one has ended its slow start. */
         private List<TrackedUpstream> cold(long now) {
             if (now >= nextWarmAt) {
                 refreshCold(now);
@@ -565,16 +565,16 @@
             return ready.size() - cold(now).size();
         }
 
-        /** Takes an answer's time, in parts of the expected, for how full the cold or the warm ones are. */
+        /** Takes the duration of a response, relative to the expected one, as a measure of load. */
         void recordDuration(long now, Attempt attempt, double ratio) {
             (attempt.sentAt < attempt.upstream.coldUntil ? coldRatio : warmRatio).add(now, ratio);
         }
 
         /**
-         * How much more than their mere part the cold ones take, or less. Danger: where the warm ones have
-         * jammed, what they serve tells less than what they could, and cold ones idle beside them; after a
-         * burst it tells more. As much longer as warm answers take than cold ones, so much more goes to the
-         * cold: up to one less than what tips one over, and that only as it warms.
+         * Factor on the budget of cold upstreams: how many times longer warm responses take than cold ones.
+         * The budget follows what warm upstreams serve. That is too low while they are overloaded, and leaves
+         * cold ones idle, and too high after a burst. Above 1 the factor rises with the ramp's progress, at
+         * most to one less than the overload factor, at which a cold upstream collapses.
          */
         private double coldBias(long now, double progress) {
             double bias = warmRatio.mean(now) / coldRatio.mean(now);
@@ -583,9 +583,9 @@
         }
 
         /**
-         * A cold server whose part is due to it. Danger: its part is a fraction of a request in each turn of
-         * a sidecar that comes round to it every few seconds; left for its next turn, most of it would lapse,
-         * and what is cold would idle while the warm ones jam.
+         * A cold upstream with budget for the request, or null. Its turn comes only every few seconds, and
+         * its budget is a fraction of a request per turn. Spent only at its turn, most of the budget would
+         * expire, and it would be idle while warm upstreams are overloaded.
          */
         TrackedUpstream coldWithCapacity(long now, PendingRequest pending, double toleratedSlowdown) {
             if (warmCount(now) > 0) {
@@ -598,11 +598,11 @@
             return null;
         }
 
-        /** Takes one line over; true if the set of ready servers changed. */
+        /** Applies one entry of the list; true if the set of ready upstreams changed. */
         private boolean applyEntry(long now, Upstream entry) {
             TrackedUpstream upstream = upstreams.get(entry.id());
             boolean wasReady = upstream != null && upstream.entry.state() == UpstreamState.READY;
-            // A restarted process shares nothing with the one before: not its load, nor its faults.
+            // A restarted process has neither the load nor the faults of the one before.
             boolean newProcess = upstream == null || entry.startedAt() > upstream.entry.startedAt();
             if (newProcess) {
                 long processStartedAt = entry.startedAt() == 0 && listReceived ? now : entry.startedAt();
@@ -620,9 +620,10 @@
         }
 
         /**
-         * Danger: a cold server falls over and stays down when all sidecars together overfill it. A share of
-         * what comparable servers are seen to serve FOR THIS SIDECAR is this sidecar's part, so the parts of
-         * all sum up to that share of a server's load, whoever sends how much.
+         * Whether the upstream is warm or has slow-start budget left. A cold upstream that all sidecars
+         * together overload collapses and stays down. The budget is a share of what a warm upstream serves
+         * for this sidecar, so that the budgets of all sidecars add up to that share, however uneven they
+         * are.
          */
         boolean hasColdCapacity(long now, TrackedUpstream upstream, PendingRequest pending) {
             if (now >= upstream.coldUntil) {
@@ -633,13 +634,13 @@
             double coldShare = settings.limits().coldCapacityShare();
             double rate = warmRate(now) * (coldShare + (1 - coldShare) * progress) * coldBias(now, progress);
             if (rate == 0) {
-                // Nothing to compare with yet. Danger: one at a time is one from every sidecar at once, so a
-                // lone sidecar's habit pushes a cold server over; the warm ones take the request instead.
+                // No warm upstream has served anything yet. One attempt at a time from every sidecar would
+                // overload a cold upstream, so it gets one only if there is no warm upstream.
                 return upstream.inFlight == 0 && warmCount(now) == 0;
             }
             if (!upstream.coldTokensInitialized) {
-                // Danger: a first request free of charge comes from hundreds of sidecars together. Each
-                // starts somewhere within the debt of one request, so that their sum keeps to the rate.
+                // Without a charge, hundreds of sidecars would send their first requests together. Each
+                // starts with a random debt of up to one request, so that their sum keeps to the rate.
                 upstream.coldTokensInitialized = true;
                 upstream.coldTokens = -random.nextDouble() * estimatedWork(pending);
             }
@@ -650,9 +651,9 @@
         }
 
         /**
-         * Work a nanosecond that a warm server serves for this sidecar, on average. Danger: the sum over a
-         * ramp time is not full before a sidecar has run that long; one just started would take its part for
-         * next to nothing, and a fleet restarted together would leave what is cold idle.
+         * Work, in ns per ns, that a warm upstream serves for this sidecar on average. The sum over a ramp
+         * time is incomplete until the sidecar has run that long: uncorrected, a new sidecar's budget would
+         * be almost 0, and after a restart of the whole fleet cold upstreams would be idle.
          */
         private double warmRate(long now) {
             int warm = warmCount(now);
