--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -668,7 +668,7 @@
         }
     }
 
-    /** What answers of late took, in parts of the expected; a few are taken to have been as expected. */
+    /** Mean ratio of duration to expected duration of recent responses, with some ratios of 1 added. */
     private final class DurationRatio {
         private static final int PRIOR_COUNT = 3;
         private final DecayingSum sum = new DecayingSum(8.0 * detector.minLatencyTarget, 0);
@@ -684,22 +684,21 @@
         }
     }
 
-    /** Usual time to an answer of one class, and its growth with the hinted cost by least squares. */
+    /** Expected response duration of a class in ns, linear in the hinted cost (moving least squares). */
     private static final class LatencyEstimator {
-        /** About the last 50 answers. */
-        private static final double MIN_WEIGHT = 0.02;
+        private static final double MIN_WEIGHT = 0.02;  // of a response: averages over about the last 50
         double mean;
         private long count;
         private double meanCost;
         private double meanSquaredCost;
-        private double meanProduct;
+        private double meanProduct;  // of duration and cost
 
         LatencyEstimator(double initialMean) {
             mean = initialMean;
         }
 
         void add(double measured, double costHint) {
-            // Cut at three times the expected: one slow server must not become what is usual.
+            // Limited to three times the expected: one slow upstream must not change what is expected.
             double duration = Math.min(measured, 3 * expected(costHint));
             double weight = Math.max(MIN_WEIGHT, 1.0 / ++count);
             mean += weight * (duration - mean);
@@ -718,10 +717,10 @@
         }
     }
 
-    /** What servers of one kind take to answer, in parts of what the class usually takes on any. */
+    /** Mean response duration of one model's upstreams, divided by the duration expected of any upstream. */
     private static final class ModelSpeed {
         private double mean = 1;
-        private double count = 2;
+        private double count = 2;  // as if two responses had been as expected
 
         void add(double ratio) {
             count++;
@@ -729,23 +728,23 @@
         }
     }
 
-    /** Evidence about each server, from this sidecar's own attempts. */
+    /** Ejects slow and failing upstreams, by the outcomes of attempts and by peer warnings. */
     private final class OutlierDetector {
-        /** Part of the aim: a kind that takes no more is far from its limit and takes every turn. */
+        /** Share of the latency target: a model that responds sooner is far from its capacity. */
         private static final double FULL_WEIGHT_TARGET_SHARE = 0.25;
         private static final double SPEED_EXPONENT = 1.4;
         private final Map<Integer, ModelSpeed> modelSpeeds = new TreeMap<>();
-        private double fastestRatio = 1;
+        private double fastestRatio = 1;  // lowest mean of all models
 
         ModelSpeed modelSpeed(TrackedUpstream upstream) {
             return modelSpeeds.computeIfAbsent(upstream.entry.model(), model -> new ModelSpeed());
         }
 
         /**
-         * The part of its turns that a server takes. Danger: even turns give a slow machine as much work as a
-         * fast one, and with the fleet three quarters busy the slow kind has more than it can ever do. All
-         * turns while its kind answers well within the aim; else as the fastest kind's time is to its own,
-         * and somewhat fewer: at the same use, those who wait on a slow machine wait longer.
+         * The share of its turns that the upstream gets. With equal turns a slow machine gets as much work as
+         * a fast one, which is more than it can do with the fleet three quarters busy. It is 1 while its
+         * model responds well within the latency target, else the ratio of the fastest model's duration to
+         * its model's, and somewhat less: at the same utilization, requests wait longer on a slow machine.
          */
         double turnWeight(TrackedUpstream upstream, PendingRequest pending) {
             double ratio = modelSpeed(upstream).mean;
@@ -758,16 +757,15 @@
             fastestRatio = modelSpeeds.values().stream().mapToDouble(model -> model.mean).min().orElse(1);
         }
 
-        /** A part of the aim: a server expected to take longer is of no use to the class. */
+        /** Share of the latency target: an upstream expected to take longer is useless for the class. */
         private static final double USABLE_TARGET_SHARE = 0.75;
         /** Machines of one fleet differ about twofold from their mean; beyond that it is a fault. */
         private static final double MAX_SLOWDOWN = 2;
-        /** Of each class, over all servers, starting from a tenth of its aim. */
+        /** By class, over all upstreams; they start from a tenth of the latency target. */
         private final LatencyEstimator[] latencyEstimators = new LatencyEstimator[settings.classes().size()];
-        private final long minLatencyTarget;
-        /** Attempts of the last eight aims. */
+        private final long minLatencyTarget;  // of all classes, in ns
         private final DecayingSum recentAttempts;
-        private final double recentWindow;
+        private final double recentWindow;  // of recentAttempts: eight latency targets, in ns
 
         OutlierDetector() {
             for (int i = 0; i < latencyEstimators.length; i++) {
@@ -794,6 +792,7 @@
             }
         }
 
+        /** Ejects or readmits the upstream; true if it is not ejected or may get a trial attempt now. */
         boolean isUsable(long now, TrackedUpstream upstream, PendingRequest pending) {
             updateExpectedResponses(now, upstream);
             boolean outlier = upstream.connectFailures > 0 || peerWarnings.isSuspect(now, upstream)
@@ -812,8 +811,9 @@
         }
 
         /**
-         * How long a shut gate first stays so. Danger: where each of many sidecars comes to an upstream but
-         * rarely, its trials are as many as its turns, and their sum leaves a jammed one as full as ever.
+         * First ejection duration: two cycles through all upstreams, within bounds. Where each of many
+         * sidecars reaches an upstream rarely, a shorter one allows a trial at each turn, and all trials
+         * together keep it overloaded.
          */
         private long initialEjectionNanos(long now) {
             double cycle = registry.ready.size() * recentWindow / Math.max(1, recentAttempts.value(now));
@@ -821,9 +821,9 @@
         }
 
         /**
-         * Up to which slowness a shut gate is excused. Danger: a trouble common to all would empty the
-         * pattern, and one common to most would press all work on the few that are left. Gates that all shut
-         * do not count; where more than half are shut, only those slower than the middle one stay so.
+         * Panic threshold: ejections up to this slowdown are ignored, none if it is 0. A fault common to all
+         * upstreams would leave none, and one common to most would overload the few left. If all are ejected,
+         * all ejections are ignored; if more than half are, those up to the median slowdown.
          */
         double toleratedSlowdown(long now, PendingRequest pending) {
             long usable = registry.ready.stream().filter(each -> isUsable(now, each, pending)).count();
@@ -839,12 +839,12 @@
                     || upstream.connectFailures == 0 && slowdown(upstream) <= toleratedSlowdown;
         }
 
-        /** How many gates are shut, for operators: it tries none. */
+        /** Number of ejected upstreams, for operators; changes no state. */
         long ejectedCount(long now) {
             return registry.ready.stream().filter(upstream -> upstream.nextTrialAt > now).count();
         }
 
-        /** How many times slower than usual it answers; two answers are taken for granted. */
+        /** How many times longer than expected responses take, with two responses in time added. */
         private double slowdown(TrackedUpstream upstream) {
             return (upstream.expectedResponses + 2) / (upstream.receivedResponses + 2);
         }
@@ -864,8 +864,8 @@
                     responseReceived(upstream);
                 }
                 case ERROR, RESET -> {
-                    // Danger: fast errors empty the in-flight count and win turns. One is as bad as an answer
-                    // at twice the aim: a stray one shuts nothing, two in a row do.
+                    // Fast errors keep the in-flight count low and so attract attempts. Each counts as a
+                    // response at twice the latency target: a single one ejects nothing, two in a row do.
                     responseReceived(upstream);
                     upstream.expectedResponses += 2 * pending.latencyTarget / pending.expectedDuration;
                 }
