--- a/src/main/java/pondridge/SettingsReader.java
+++ b/src/main/java/pondridge/SettingsReader.java
@@ -17,24 +17,25 @@
 import pondridge.Balancer.WeightMode;
 
 /**
- * The one reader of an instance's settings, for every host: turns path=value lines into {@link Settings} and
- * answers for what only hosts need (names, connection limits). Keys it does not know are skipped; what makes
- * no sense is an {@link IllegalArgumentException} naming the key.
+ * Reads the settings of a balancer, for all hosts: parses lines of the form {@code key=value} into
+ * {@link Settings}, and gives hosts access to values that only they need, such as names and connection
+ * limits. Unknown keys are ignored. A missing or invalid value causes an {@link IllegalArgumentException}
+ * that names its key.
  */
 public final class SettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
-    /** Reads one path=value a line. */
+    /** Parses the text, one {@code key=value} per line; lines without an equals sign are ignored. */
     public SettingsReader(String text) {
         for (String line : text.split("\n")) {
-            int equals = line.indexOf('=');
-            if (equals > 0) {
-                values.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(line.substring(0, separator).trim(), line.substring(separator + 1).trim());
             }
         }
     }
 
-    /** What the module is set to. */
+    /** The settings of the balancer. */
     public Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
         int classCount = (int) required("profiles.count");
@@ -44,27 +45,28 @@
         List<Tenant> tenants = new ArrayList<>();
         int tenantCount = (int) number("parties.count", 0);
         for (int i = 0; i < tenantCount; i++) {
-            String path = "parties." + i + ".";
-            tenants.add(new Tenant(number(path + "portion", 0), number(path + "quotaRps", 0)));
+            String prefix = "parties." + i + ".";
+            tenants.add(new Tenant(number(prefix + "portion", 0), number(prefix + "quotaRps", 0)));
         }
         return new Settings((int) number("rank", 0), (int) number("replicasOfMe", 1), (int) number("zone", 0),
                 (long) number("quantum", 0),
-                choice(DiscoveryMode.class, "discovery", DiscoveryMode.AUTOMATIC),
-                choice(WeightMode.class, "weights", WeightMode.SILENT), classes, tenants,
-                allowed(), limits(), list("report.fields"),
+                enumValue(DiscoveryMode.class, "discovery", DiscoveryMode.AUTOMATIC),
+                enumValue(WeightMode.class, "weights", WeightMode.SILENT), classes, tenants,
+                capabilities(), limits(), list("report.fields"),
                 new Costs(number("charges.probe", 0), number("charges.peer", 0)),
                 "work".equals(values.get("valueBy")), number("overShareWorth", 1));
     }
 
-    private RequestClass requestClass(String path) {
-        Semantics semantics = choice(Semantics.class, path + "semantics", null);
-        return new RequestClass((long) required(path + "slo"), number(path + "aimStretch", 0),
-                (long) required(path + "deadline"), number(path + "worth", 1), number(path + "lateShare", 0),
-                semantics, choice(KeyScope.class, path + "keyScope", KeyScope.CELL),
-                (long) number(path + "keyTtl", 0), flag(path + "stream"));
+    private RequestClass requestClass(String prefix) {
+        Semantics semantics = enumValue(Semantics.class, prefix + "semantics", null);
+        return new RequestClass((long) required(prefix + "slo"), number(prefix + "aimStretch", 0),
+                (long) required(prefix + "deadline"), number(prefix + "worth", 1),
+                number(prefix + "lateShare", 0), semantics,
+                enumValue(KeyScope.class, prefix + "keyScope", KeyScope.CELL),
+                (long) number(prefix + "keyTtl", 0), flag(prefix + "stream"));
     }
 
-    private Capabilities allowed() {
+    private Capabilities capabilities() {
         return new Capabilities(flag("caps.mayCancel"), flag("caps.mayProbe"), flag("caps.peers"),
                 flag("caps.parallelTries"), flag("caps.retryAfter"), (int) number("caps.tryLimit", 1),
                 (long) number("caps.maxRetryAfter", 0), (long) number("caps.connectTimeout", 0));
@@ -77,17 +79,17 @@
                 (long) required("rules.tipAfter"));
     }
 
-    /** The names of a list of objects, in order; those without a name are named by their number. */
-    public List<String> names(String path) {
+    /** The names of the objects in a list, in their order; an object without a name is named by its index. */
+    public List<String> names(String key) {
         List<String> names = new ArrayList<>();
-        int count = (int) number(path + ".count", 0);
+        int count = (int) number(key + ".count", 0);
         for (int i = 0; i < count; i++) {
-            names.add(values.getOrDefault(path + "." + i + ".name", Integer.toString(i)));
+            names.add(values.getOrDefault(key + "." + i + ".name", Integer.toString(i)));
         }
         return names;
     }
 
-    /** A list of plain values, empty where absent. */
+    /** A list of comma-separated values; empty if the key is missing. */
     public List<String> list(String key) {
         String text = values.getOrDefault(key, "");
         return text.isEmpty() ? List.of() : List.of(text.split(","));
@@ -104,11 +106,11 @@
         return number(key, 0);
     }
 
-    /** A number, or {@code absent} where the key is missing or empty. */
-    public double number(String key, double absent) {
+    /** A number; {@code defaultValue} if the key is missing or its value is empty. */
+    public double number(String key, double defaultValue) {
         String text = values.get(key);
         if (text == null || text.isEmpty()) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(text);
@@ -117,14 +119,14 @@
         }
     }
 
-    /** An enum setting; {@code absent} null makes it required. */
-    private <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
+    /** An enum value, in any letter case. Without a {@code defaultValue} (null) the key is required. */
+    private <E extends Enum<E>> E enumValue(Class<E> type, String key, E defaultValue) {
         String text = values.get(key);
         if (text == null) {
-            if (absent == null) {
+            if (defaultValue == null) {
                 throw new IllegalArgumentException("setting missing: " + key);
             }
-            return absent;
+            return defaultValue;
         }
         try {
             return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
