--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -55,14 +55,14 @@
     public void start(long now) {
         registry.startedAt = now;
         registry.subscribe(now);
-        timerQueue.flush();
+        timerQueue.armHostTimer();
     }
 
     @Override
     public void listUpdated(long now, ListUpdateType type, List<Upstream> entries) {
         registry.listUpdated(now, type, entries);
         admission.sendQueued(now);
-        timerQueue.flush();
+        timerQueue.armHostTimer();
     }
 
     @Override
@@ -72,7 +72,7 @@
         }
         PendingRequest pending = tracker.track(now, request);
         admission.admit(now, pending);
-        timerQueue.flush();
+        timerQueue.armHostTimer();
     }
 
     @Override
@@ -88,7 +88,7 @@
             long elapsed, boolean requestFinished, float[] load) {
         tracker.attemptEnded(now, request, attempt, outcome, requestFinished);
         admission.sendQueued(now);
-        timerQueue.flush();
+        timerQueue.armHostTimer();
     }
 
     @Override
@@ -97,7 +97,7 @@
         if (tracked != null) {
             prober.probeEnded(now, tracked, outcome, load);
         }
-        timerQueue.flush();
+        timerQueue.armHostTimer();
     }
 
     @Override
@@ -117,9 +117,9 @@
 
     @Override
     public void timerFired(long now, long token) {
-        timerQueue.ring(now, token);
+        timerQueue.timerFired(now, token);
         admission.sendQueued(now);
-        timerQueue.flush();
+        timerQueue.armHostTimer();
     }
 
     @Override
@@ -337,7 +337,7 @@
             pending.expectedDuration = Math.max(pending.latencyTarget / 1000.0,
                     detector.latencyEstimators[request.classIndex()].expected(request.costHint()));
             requests.put(request.id(), pending);
-            timerQueue.set(pending.deadline, at -> {
+            timerQueue.schedule(pending.deadline, at -> {
                 if (!pending.streaming) {
                     refuseOrFail(pending, FailureReason.DEADLINE);
                 }
@@ -407,7 +407,7 @@
             actions.send(pending.request.id(), upstream.entry.id(),
                     stopAtTarget ? pending.latencyTargetAt - now : 0);
             admission.attemptsInWindow++;
-            timerQueue.set(Math.max(now, pending.latencyTargetAt) + 1,
+            timerQueue.schedule(Math.max(now, pending.latencyTargetAt) + 1,
                     at -> admission.recordTimeliness(at, attempt, false, pending.latencyTarget));
         }
 
@@ -501,7 +501,7 @@
 
         private void scheduleRenewal(long at) {
             long generation = ++renewalGeneration;
-            timerQueue.set(at, now -> {
+            timerQueue.schedule(at, now -> {
                 if (generation == renewalGeneration) {
                     subscribe(now);
                 }
@@ -990,7 +990,7 @@
                 queuedCount++;
                 long latestSendAt = pending.latencyTargetAt  // of those sent later, half would be late
                         - (long) (1.5 * pending.expectedDuration);
-                timerQueue.set(Math.max(now + 1, latestSendAt), at -> {
+                timerQueue.schedule(Math.max(now + 1, latestSendAt), at -> {
                     if (pending.queued) {
                         tracker.refuseOrFail(pending, FailureReason.HELD);
                     }
@@ -1257,7 +1257,7 @@
                 actions.probe(upstream.entry.id());
             }
             pending.probesLeft = pending.probed.size();
-            timerQueue.set(now + pending.latencyTarget / PROBE_TIMEOUT_DIVISOR,
+            timerQueue.schedule(now + pending.latencyTarget / PROBE_TIMEOUT_DIVISOR,
                     at -> probesEnded(at, pending, pending.probesLeft));
             return pending.probesLeft > 0;
         }
--- a/src/main/java/pondridge/TimerQueue.java
+++ b/src/main/java/pondridge/TimerQueue.java
@@ -3,39 +3,45 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Alarms of the module behind one timer of the host. A queue of times: it decides nothing. */
+/** The balancer's timers, ordered by time. Only the earliest one is set as a timer of the host. */
 final class TimerQueue {
-    private record Alarm(long at, long serial, LongConsumer what) { }
+    /** Timers with the same time run in the order in which they were scheduled. */
+    private record Timer(long at, long sequence, LongConsumer action) { }
 
-    private final PriorityQueue<Alarm> queue = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
-    private long serials;
-    private long timerAt = Long.MAX_VALUE;
-    private long timerToken;
+    private final PriorityQueue<Timer> queue = new PriorityQueue<>((a, b) ->
+            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private long nextSequence;
+    private long hostTimerAt = Long.MAX_VALUE;  // MAX_VALUE if no host timer is set
+    private long hostTimerToken;
     private final Balancer.Actions actions;
 
     TimerQueue(Balancer.Actions actions) {
         this.actions = actions;
     }
 
-    void set(long at, LongConsumer what) {
-        queue.add(new Alarm(at, serials++, what));
+    /** Calls {@code action} with the current time at or after {@code at}. */
+    void schedule(long at, LongConsumer action) {
+        queue.add(new Timer(at, nextSequence++, action));
     }
 
-    void flush() {
-        if (!queue.isEmpty() && queue.peek().at < timerAt) {
-            timerAt = queue.peek().at;
-            actions.setTimer(++timerToken, timerAt);
+    /** Sets the host timer if a timer is due before it. Called at the end of each event. */
+    void armHostTimer() {
+        if (!queue.isEmpty() && queue.peek().at < hostTimerAt) {
+            hostTimerAt = queue.peek().at;
+            actions.setTimer(++hostTimerToken, hostTimerAt);
         }
     }
 
-    /** Danger: a coarse host clock may ring early; told by its time, the one timer would be lost. */
-    void ring(long now, long token) {
-        if (token == timerToken) {
-            timerAt = Long.MAX_VALUE;
+    /**
+     * Runs the timers that are due. The host timer is recognized by its token: a host with a coarse clock may
+     * fire it early, and recognized by its time it would count as still set, so that no other would follow.
+     */
+    void timerFired(long now, long token) {
+        if (token == hostTimerToken) {
+            hostTimerAt = Long.MAX_VALUE;
         }
         while (!queue.isEmpty() && queue.peek().at <= now) {
-            queue.poll().what.accept(now);
+            queue.poll().action.accept(now);
         }
     }
 }
