--- a/src/main/java/pondridge/DecayingSum.java
+++ b/src/main/java/pondridge/DecayingSum.java
@@ -1,23 +1,23 @@
 package pondridge;
 
-/** A sum that forgets: what was added a window ago counts by 1/e. */
+/** A sum with exponential decay: an amount that was added one window ago counts 1/e of its value. */
 final class DecayingSum {
-    private final double window;
+    private final double window;  // in ns
     private double value;
-    private long at;
+    private long updatedAt;  // 0 before the first add
 
-    /** Starts at {@code first}, which counts in full until something is added. */
-    DecayingSum(double window, double first) {
+    /** Starts with {@code initial}, which decays only from the first {@link #add} on. */
+    DecayingSum(double window, double initial) {
         this.window = window;
-        this.value = first;
+        this.value = initial;
     }
 
     double value(long now) {
-        return at == 0 ? value : value * Math.exp((at - now) / window);
+        return updatedAt == 0 ? value : value * Math.exp((updatedAt - now) / window);
     }
 
-    void add(long now, double more) {
-        value = value(now) + more;
-        at = now;
+    void add(long now, double amount) {
+        value = value(now) + amount;
+        updatedAt = now;
     }
 }
