--- a/src/test/java/pondridge/EmbeddingExampleTest.java
+++ b/src/test/java/pondridge/EmbeddingExampleTest.java
@@ -11,12 +11,12 @@
 import pondridge.Balancer.Upstream;
 import pondridge.Balancer.UpstreamState;
 
-/** The README's embedding example, compiled and run. */
+/** Compiles and runs the README's example of how a host embeds the balancer. */
 class EmbeddingExampleTest {
 
     @Test
-    void hostDrivesTheModule() {
-        // The host's side: carries out what the module orders (here it only writes it down).
+    void hostDrivesTheBalancer() {
+        // The host carries out the actions of the balancer; this one only records them.
         RecordingHost host = new RecordingHost(RecordingHost.settings(RecordingHost.REPEATABLE), 42);
         Balancer balancer = host.rules;
         long now = host.now;
@@ -30,9 +30,9 @@
 
         now += 20_000_000;
         balancer.attemptEnded(now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
-        assertTrue(host.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
+        assertTrue(host.answers.isEmpty(), "the host passed the response on; no other one is due");
 
-        // A restart: a new instance, a new seed, no memory.
+        // After a restart: a new instance with a new seed and no state.
         RecordingHost restarted = new RecordingHost(RecordingHost.settings(RecordingHost.REPEATABLE), 43);
         restarted.rules.listUpdated(now, ListUpdateType.CACHED, List.of());
         restarted.request(101, 0);
