--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Weighted round robin over the ready upstreams, with a choice between two neighbours. */
+    /** Weighted round robin over the ready upstreams; of two neighbours it picks the less loaded one. */
     private final class RoundRobin {
         private final List<TrackedUpstream> order = new ArrayList<>();
         private int nextIndex;  // into order: where the next pick starts
@@ -173,16 +173,16 @@
         }
 
         /**
-         * The upstream for the next attempt, or null if none is eligible: of the next two eligible ones that
-         * with fewer attempts in flight, on a tie the first. Only the first attempt of a request advances the
-         * index: for a retry few upstreams are eligible, which would make the turns uneven.
+         * Returns the upstream for the next attempt, or null if none is eligible: of the next two eligible
+         * ones, the one with fewer attempts in flight, on a tie the first. Only a request's first attempt
+         * advances the index: few upstreams are eligible for a retry, and turns would become uneven.
          */
         TrackedUpstream pick(long now, PendingRequest pending, double toleratedSlowdown) {
             if (!pending.attempts.isEmpty() && !tracker.mayRetry(now, pending)) {
                 return null;
             }
             TrackedUpstream cold = pending.attempts.isEmpty()
-                    ? registry.coldWithCapacity(now, pending, toleratedSlowdown) : null;
+                    ? registry.coldWithBudget(now, pending, toleratedSlowdown) : null;
             if (cold != null) {
                 return cold;
             }
@@ -240,7 +240,7 @@
                 && upstream.inFlight < Math.max(1, (int) upstream.concurrencyLimit)
                 && (detector.ignoresEjection(upstream, toleratedSlowdown)
                         || detector.isUsable(now, upstream, pending) && !prober.excludes(upstream, pending))
-                && registry.hasColdCapacity(now, upstream, pending);
+                && registry.hasColdBudget(now, upstream, pending);
     }
 
     /** State of one upstream. Counts are of this sidecar's attempts; times are in nanoseconds. */
@@ -249,9 +249,9 @@
         int inFlight;
         long coldUntil;  // end of its slow start
         double turnCredit;  // of weighted round robin: grows by the weight at each turn, a turn costs 1
-        double coldTokens;  // work in ns that may be sent during slow start; negative after overspending
-        boolean coldTokensInitialized;
-        long refilledAt;  // time of the last refill of coldTokens
+        double coldBudget;  // slow-start budget: work in ns that may be sent now; negative after overspending
+        boolean coldBudgetInitialized;
+        long refilledAt;  // time of the last refill of coldBudget
         double responseRate;  // responses expected per ns: sum of 1 / expectedDuration of attempts in flight
         long expectedResponsesAt;  // time up to which expectedResponses is integrated
         double expectedResponses;  // decaying count of the responses due so far
@@ -261,8 +261,8 @@
         long ejectionNanos;  // ejection duration: time from one trial attempt to the next
         double concurrencyLimit = AdmissionController.INITIAL_CONCURRENCY_LIMIT;
         long limitReducedAt;
-        double reportedInFlight = Double.MAX_VALUE;  // by its last probe, plus attempts since; MAX: unknown
-        boolean suspect;  // ejected because of warnings
+        double reportedInFlight = Double.MAX_VALUE;  // by its last probe, plus attempts since; or unknown
+        boolean suspect;  // ejected for its warnings, until they fall to half the threshold
         final DecayingSum warnings;  // of this sidecar and of its peers
         final List<PendingRequest> probingRequests = new ArrayList<>(2);  // waiting for its load probe
 
@@ -370,7 +370,7 @@
             };
         }
 
-        /** Each upstream gets at most one attempt; a keyed repeat goes only where its key is known. */
+        /** Whether it has had no attempt of this request and, for a keyed repeat, recognizes the key. */
         boolean mayUse(PendingRequest pending, TrackedUpstream upstream) {
             for (Attempt attempt : pending.attempts) {
                 if (attempt.upstream == upstream) {
@@ -398,7 +398,7 @@
             pending.probed = List.of();
             detector.attemptSent(now, upstream, pending);
             peerWarnings.attemptSent();
-            upstream.coldTokens -= registry.estimatedWork(pending);
+            upstream.coldBudget -= registry.estimatedWork(pending);
             upstream.inFlight++;
             // Work past its latency target occupies a core that other work needs to be in time. It is stopped
             // only where load probes show an upstream's work; elsewhere it would continue unnoticed.
@@ -464,7 +464,7 @@
             finish(pending);
         }
 
-        /** Ends a request. An outstanding attempt still counts as in flight; no other one is sent. */
+        /** Ends a request and cancels its outstanding attempt, which stays in flight until its outcome. */
         void finish(PendingRequest pending) {
             if (!pending.finished && pending.awaitsOutcome() && !pending.streaming
                     && settings.capabilities().cancel()) {
@@ -487,7 +487,7 @@
         private final DurationRatio warmRatio = new DurationRatio();
         private long nextWarmAt = Long.MAX_VALUE;  // time at which the next slow start ends
         private boolean listReceived;
-        private final DecayingSum servedWork = new DecayingSum(settings.limits().rampTime(), 0);
+        private final DecayingSum servedWork = new DecayingSum(settings.limits().rampTime(), 0);  // in ns
         private long retryDelay;  // of a failed subscription, in ns
         private long renewalGeneration;  // a scheduled renewal of an older generation does nothing
         private long startedAt;  // of this sidecar
@@ -587,7 +587,7 @@
          * its budget is a fraction of a request per turn. Spent only at its turn, most of the budget would
          * expire, and it would be idle while warm upstreams are overloaded.
          */
-        TrackedUpstream coldWithCapacity(long now, PendingRequest pending, double toleratedSlowdown) {
+        TrackedUpstream coldWithBudget(long now, PendingRequest pending, double toleratedSlowdown) {
             if (warmCount(now) > 0) {
                 for (TrackedUpstream upstream : cold(now)) {
                     if (isEligible(now, upstream, pending, toleratedSlowdown)) {
@@ -621,11 +621,10 @@
 
         /**
          * Whether the upstream is warm or has slow-start budget left. A cold upstream that all sidecars
-         * together overload collapses and stays down. The budget is a share of what a warm upstream serves
-         * for this sidecar, so that the budgets of all sidecars add up to that share, however uneven they
-         * are.
+         * together overload collapses and does not recover. The budget is a share of what a warm upstream
+         * serves for this sidecar, so that the budgets of all sidecars add up to that share of its load.
          */
-        boolean hasColdCapacity(long now, TrackedUpstream upstream, PendingRequest pending) {
+        boolean hasColdBudget(long now, TrackedUpstream upstream, PendingRequest pending) {
             if (now >= upstream.coldUntil) {
                 return true;
             }
@@ -638,16 +637,16 @@
                 // overload a cold upstream, so it gets one only if there is no warm upstream.
                 return upstream.inFlight == 0 && warmCount(now) == 0;
             }
-            if (!upstream.coldTokensInitialized) {
+            if (!upstream.coldBudgetInitialized) {
                 // Without a charge, hundreds of sidecars would send their first requests together. Each
                 // starts with a random debt of up to one request, so that their sum keeps to the rate.
-                upstream.coldTokensInitialized = true;
-                upstream.coldTokens = -random.nextDouble() * estimatedWork(pending);
+                upstream.coldBudgetInitialized = true;
+                upstream.coldBudget = -random.nextDouble() * estimatedWork(pending);
             }
-            double depth = rate * settings.limits().overloadWindow() / 2;
-            upstream.coldTokens = Math.min(depth, upstream.coldTokens + rate * (now - upstream.refilledAt));
+            double limit = rate * settings.limits().overloadWindow() / 2;
+            upstream.coldBudget = Math.min(limit, upstream.coldBudget + rate * (now - upstream.refilledAt));
             upstream.refilledAt = now;
-            return upstream.coldTokens >= 0 && upstream.inFlight <= 1 + upstream.concurrencyLimit / 2;
+            return upstream.coldBudget >= 0 && upstream.inFlight <= 1 + upstream.concurrencyLimit / 2;
         }
 
         /**
@@ -764,7 +763,7 @@
         /** By class, over all upstreams; they start from a tenth of the latency target. */
         private final LatencyEstimator[] latencyEstimators = new LatencyEstimator[settings.classes().size()];
         private final long minLatencyTarget;  // of all classes, in ns
-        private final DecayingSum recentAttempts;
+        private final DecayingSum recentAttempts;  // of this sidecar at all upstreams
         private final double recentWindow;  // of recentAttempts: eight latency targets, in ns
 
         OutlierDetector() {
@@ -875,7 +874,7 @@
         }
 
         private void responseReceived(TrackedUpstream upstream) {
-            double decay = upstream.nextTrialAt > 0 ? 0.5 : 0.9;
+            double decay = upstream.nextTrialAt > 0 ? 0.5 : 0.9;  // after a trial, older evidence counts less
             upstream.expectedResponses *= decay;
             upstream.receivedResponses = upstream.receivedResponses * decay + 1;
             upstream.connectFailures = 0;
@@ -885,7 +884,7 @@
     /** The queued requests of one tenant, and its recent usage of its quota. */
     private static final class TenantQueue {
         // Newest first. In order of arrival, an overload delays every request until it is late, even after
-        // the overload has ended; newest first, some wait in vain and the others are in time.
+        // the overload has ended; newest first, only some are late.
         private final ArrayDeque<PendingRequest> queued = new ArrayDeque<>();
         private final double quotaPerSecond;
         private final DecayingSum recentWork;  // expected duration of its attempts, in ns
@@ -907,7 +906,7 @@
         static final double INITIAL_CONCURRENCY_LIMIT = 2;
         /** Share of the latency target: a slower attempt leaves no time for a retry with its own delays. */
         private static final double SLOW_TARGET_SHARE = 0.4;
-        private static final int MAX_VOTES = 1000;  // many: client retries may outnumber the rest for a while
+        private static final int MAX_VOTES = 1000;  // high: client retries may be the majority for a while
         /** An in-time ratio of four in five is healthy: the rest is chance and single faults. */
         private static final double INVERSE_HEALTHY_RATIO = 1.25;
         /** Too few to overload an upstream; a single one might wait for an upstream that does not respond. */
@@ -915,7 +914,7 @@
         // Added to the attempts and to those in time. Otherwise a sidecar with little traffic, which sees a
         // few attempts in two latency targets, would shed a third when two of them are late by chance.
         private static final int PRIOR_IN_TIME = 4;
-        private static final double SHED_IN_TIME_SHARE = 0.5;  // counts as in time with even chance
+        private static final double SHED_IN_TIME_SHARE = 0.5;  // of shed requests, counted as in time
         private final TenantQueue[] tenantQueues = new TenantQueue[Math.max(1, settings.tenants().size())];
         private int queuedCount;  // over all tenants
         private long passes;  // calls of sendQueued
@@ -931,7 +930,7 @@
         // round trip in the initial growth phase, and then grows by one.
         private double window;
         private boolean initialGrowth = true;
-        private long windowReducedAt;  // shrinks at most once a round trip
+        private long windowReducedAt;  // the window shrinks at most once per round trip
         private int attemptsInWindow;
         private final DecayingSum recentShed = new DecayingSum(2.0 * detector.minLatencyTarget, 0);
 
@@ -947,7 +946,7 @@
         /**
          * Time in ns since the client first sent this request. Without a client retry, all requests of a
          * class arrive with the same time left; a client retry arrives with the rest of the class's deadline.
-         * The most common time left (replaced once two of three differ) is that without a client retry.
+         * The most common time left (replaced once two of three differ) is taken as that of no client retry.
          */
         long elapsedAtClient(Request request) {
             int classIndex = request.classIndex();
@@ -964,7 +963,7 @@
             return Math.max(0, settings.classes().get(classIndex).deadline() - timeLeft);
         }
 
-        /** Sends a request now, or queues it as long as it can be in time; sheds it under overload. */
+        /** Sheds a request under overload, else sends it, or queues it as long as it can be in time. */
         void admit(long now, PendingRequest pending) {
             if (now >= pending.deadline || registry.ready.isEmpty()) {
                 tracker.refuseOrFail(pending, now >= pending.deadline
@@ -1229,7 +1228,7 @@
     private final class LoadProber {
         private static final int PROBES_PER_REQUEST = 5;  // enough that they are rarely all busy
         private static final double MAX_COST_SHARE = 0.01;  // of the total value, spent on probes
-        /** Probe timeout as a part of the latency target; healthy upstreams respond without queueing. */
+        /** Probe timeout as a part of the latency target; healthy upstreams do not queue probes. */
         private static final int PROBE_TIMEOUT_DIVISOR = 20;
         private final int inFlightField = settings.reportFields().indexOf("rif");
         private final boolean affordable = inFlightField >= 0 && settings.capabilities().probes()
