--- a/src/test/java/pondridge/EmbeddingExampleTest.java
+++ b/src/test/java/pondridge/EmbeddingExampleTest.java
@@ -25,17 +25,17 @@
                 new Upstream(1, 0, 0, 0, UpstreamState.READY, 1, 0),
                 new Upstream(2, 0, 0, 0, UpstreamState.READY, 1, 0)));
         balancer.requestArrived(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, 0, false, false));
-        RecordingHost.Sent sent = host.last();
+        RecordingHost.Attempt sent = host.lastAttempt();
         assertEquals(100, sent.request());
 
         now += 20_000_000;
         balancer.attemptEnded(now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
-        assertTrue(host.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
+        assertTrue(host.finalResponses.isEmpty(), "the host passed the answer on; nothing more is owed");
 
         // A restart: a new instance, a new seed, no memory.
         RecordingHost restarted = new RecordingHost(RecordingHost.settings(RecordingHost.REPEATABLE), 43);
         restarted.rules.listUpdated(now, ListUpdateType.CACHED, List.of());
         restarted.request(101, 0);
-        assertEquals(List.of("refuse 101"), restarted.answers);
+        assertEquals(List.of("refuse 101"), restarted.finalResponses);
     }
 }
--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -26,13 +26,13 @@
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
     private static final List<RequestClass> CLASSES = List.of(RecordingHost.REPEATABLE, RecordingHost.ONCE,
-            RecordingHost.BY_CELL, RecordingHost.BY_ANY,
+            RecordingHost.BY_KEY_CELL, RecordingHost.BY_KEY_ALL,
             RecordingHost.requestClass(Semantics.BY_KEY, KeyScope.ZONE));
 
     private static final class Book {
         final RequestClass kind;
         final long deadline;
-        final List<RecordingHost.Sent> sent = new ArrayList<>();
+        final List<RecordingHost.Attempt> sent = new ArrayList<>();
         final Map<Integer, Outcome> ended = new HashMap<>();
         int answers;
 
@@ -62,7 +62,7 @@
             String[] action = host.log.get(readLog).split(" ");
             switch (action[0]) {
                 case "send" -> {
-                    RecordingHost.Sent sent = host.sends.get(sendsSeen);
+                    RecordingHost.Attempt sent = host.attempts.get(sendsSeen);
                     judgedSends.add(sendsSeen++);
                     judgeSend(sent);
                 }
@@ -76,21 +76,21 @@
         }
     }
 
-    private void judgeSend(RecordingHost.Sent sent) {
+    private void judgeSend(RecordingHost.Attempt sent) {
         Book book = books.get(sent.request());
         assertEquals(0, book.answers, "sent after its end: " + sent);
         assertEquals(UpstreamState.READY, states.get(sent.upstream()), "drain: " + sent);
         assertTrue(book.sent.size() < 3, "try limit: " + sent);
-        RecordingHost.Sent doubt = null;
-        for (RecordingHost.Sent earlier : book.sent) {
-            if (doubt == null && book.mayHaveRun(earlier.attempt())) {
+        RecordingHost.Attempt doubt = null;
+        for (RecordingHost.Attempt earlier : book.sent) {
+            if (doubt == null && book.mayHaveRun(earlier.number())) {
                 doubt = earlier;
             }
         }
         if (doubt != null) {
             assertTrue(book.kind.semantics() != Semantics.ONCE, "once sent twice: " + sent);
             if (book.kind.semantics() == Semantics.BY_KEY) {
-                assertTrue(sent.at() < doubt.at() + book.kind.keyTtl(), "key forgotten: " + sent);
+                assertTrue(sent.sentAt() < doubt.sentAt() + book.kind.keyTtl(), "key forgotten: " + sent);
                 long a = doubt.upstream();
                 long b = sent.upstream();
                 switch (book.kind.scope()) {
@@ -107,7 +107,7 @@
         Book book = books.get(id);
         assertEquals(1, ++book.answers, "answered twice: " + id);
         assertTrue(host.now <= book.deadline + SLACK, "late answer: " + id);
-        boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.attempt()));
+        boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.number()));
         boolean harmless = !doubt || book.kind.semantics() == Semantics.REPEATABLE
                 || book.kind.semantics() == Semantics.BY_KEY && book.kind.scope() == KeyScope.ALL;
         assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
@@ -124,7 +124,7 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18})
     void rulesHoldWhereTheSidecarLooksBeforeASend(long seed) {
-        play(seed, RecordingHost.lookingSettings(500, CLASSES.toArray(new RequestClass[0])));
+        play(seed, RecordingHost.loadProbeSettings(500, CLASSES.toArray(new RequestClass[0])));
         assertTrue(probes > 100, "it looked: " + probes);
     }
 
@@ -150,7 +150,7 @@
             states.put((long) i, UpstreamState.READY);
         }
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, first);
-        List<RecordingHost.Sent> out = new ArrayList<>();
+        List<RecordingHost.Attempt> out = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
         for (int step = 0; step < 6_000; step++) {
@@ -175,12 +175,12 @@
             }
             judge();
             answerProbes(random);
-            while (collected < host.sends.size()) {
-                out.add(host.sends.get(collected++));
+            while (collected < host.attempts.size()) {
+                out.add(host.attempts.get(collected++));
             }
             for (int i = out.size() - 1; i >= 0; i--) {
                 if (host.now >= books.get(out.get(i).request()).deadline) {
-                    RecordingHost.Sent sent = out.remove(i);
+                    RecordingHost.Attempt sent = out.remove(i);
                     finish(sent, Outcome.TIMEOUT);
                 }
             }
@@ -200,20 +200,20 @@
         }
     }
 
-    private void end(RecordingHost.Sent sent, Random random) {
+    private void end(RecordingHost.Attempt sent, Random random) {
         int draw = random.nextInt(10);
         finish(sent, draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
     }
 
-    private void finish(RecordingHost.Sent sent, Outcome outcome) {
+    private void finish(RecordingHost.Attempt sent, Outcome outcome) {
         Book book = books.get(sent.request());
         boolean already = book.answers > 0;
-        book.ended.put(sent.attempt(), outcome);
+        book.ended.put(sent.number(), outcome);
         if (outcome == Outcome.OK && !already) {
             book.answers++;
         }
-        host.rules.attemptEnded(host.now, sent.request(), sent.attempt(), sent.upstream(), outcome,
-                host.now - sent.at(), already || outcome == Outcome.OK, new float[0]);
+        host.rules.attemptEnded(host.now, sent.request(), sent.number(), sent.upstream(), outcome,
+                host.now - sent.sentAt(), already || outcome == Outcome.OK, new float[0]);
         judge();
     }
 
--- a/src/test/java/pondridge/RecordingHost.java
+++ b/src/test/java/pondridge/RecordingHost.java
@@ -20,25 +20,35 @@
 import pondridge.Balancer.UpstreamState;
 import pondridge.Balancer.WeightMode;
 
-/** A host for tests: it keeps the clock, rings timers and writes down what the module orders. */
+/**
+ * A host for tests of {@link Rules}: it simulates the clock, fires the timers that are due and records every
+ * action of the balancer. All times are in nanoseconds. Single-threaded.
+ */
 final class RecordingHost implements Actions {
+    /** One millisecond in nanoseconds. */
     static final long MS = 1_000_000;
     static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, KeyScope.ALL);
     static final RequestClass ONCE = requestClass(Semantics.ONCE, KeyScope.ALL);
-    static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, KeyScope.CELL);
-    static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, KeyScope.ALL);
+    static final RequestClass BY_KEY_CELL = requestClass(Semantics.BY_KEY, KeyScope.CELL);
+    static final RequestClass BY_KEY_ALL = requestClass(Semantics.BY_KEY, KeyScope.ALL);
 
-    record Sent(long request, int attempt, long upstream, long at) { }
+    /** An attempt that the balancer has ordered; {@code number} counts the request's attempts from 0. */
+    record Attempt(long request, int number, long upstream, long sentAt) { }
 
+    /** A timer that the balancer has set and that is due at {@code at}. */
     record Timer(long at, long token) { }
 
+    /** Every action of the balancer in order: its name, then its arguments, separated by spaces. */
     final List<String> log = new ArrayList<>();
-    final List<Sent> sends = new ArrayList<>();
-    final List<String> answers = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
+    /** The balancer's refusals and failures, as "refuse" or "fail" and the id of the request. */
+    final List<String> finalResponses = new ArrayList<>();
+    /** Messages that the balancer sent to other sidecars. */
+    final List<byte[]> peerMessages = new ArrayList<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     final Rules rules;
     long now = 1_000 * MS;
+    /** How many times the balancer has subscribed to list changes. */
     int subscriptions;
 
     RecordingHost(Settings settings, long seed) {
@@ -46,10 +56,12 @@
         rules.start(now);
     }
 
+    /** A class with a latency target of 500 ms, a deadline of 1 s and keys that are kept for 700 ms. */
     static RequestClass requestClass(Semantics semantics, KeyScope scope) {
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
     }
 
+    /** Settings of one of three sidecars, without load probes or peer messages; the list comes by itself. */
     static Settings settings(RequestClass... classes) {
         return settings(DiscoveryMode.AUTOMATIC, classes);
     }
@@ -61,26 +73,30 @@
                 List.of(), Balancer.Costs.NONE, false, 1);
     }
 
-    /** One sidecar has all upstreams to itself. */
-    static Settings loneSettings(RequestClass... classes) {
+    /** Settings of the only sidecar that uses the upstreams. */
+    static Settings singleSidecarSettings(RequestClass... classes) {
         Settings base = settings(classes);
         return new Settings(0, 1, 0, 5 * MS, DiscoveryMode.AUTOMATIC, WeightMode.SILENT, base.classes(),
                 List.of(), base.capabilities(), base.limits(), List.of(), Balancer.Costs.NONE, false, 1);
     }
 
-    /** Where sidecars may send each other messages, at a price. */
-    static Settings peerSettings(RequestClass... classes) {
+    /** Settings of one of 100 sidecars that may send each other messages, at a cost. */
+    static Settings peerMessageSettings(RequestClass... classes) {
         Settings base = settings(classes);
         return new Settings(0, 100, 0, 5 * MS, DiscoveryMode.AUTOMATIC, WeightMode.SILENT, base.classes(),
                 List.of(), new Capabilities(true, false, true, true, true, 3, 1_000 * MS, 250 * MS),
                 base.limits(), List.of(), new Balancer.Costs(0, 0.04), false, 1);
     }
 
-    /** Where probes are all but free, reports tell what is held, and attempts may not overlap. */
-    static Settings lookingSettings(int replicas, RequestClass... classes) {
+    /**
+     * Settings under which load probes are cheap, load reports contain the requests in flight ("rif") and a
+     * request has no two attempts in flight.
+     */
+    static Settings loadProbeSettings(int sidecarCount, RequestClass... classes) {
         Settings base = settings(classes);
-        return new Settings(0, replicas, 0, MS, DiscoveryMode.AUTOMATIC, WeightMode.SILENT, base.classes(),
-                List.of(), new Capabilities(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
+        return new Settings(0, sidecarCount, 0, MS, DiscoveryMode.AUTOMATIC, WeightMode.SILENT,
+                base.classes(), List.of(),
+                new Capabilities(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
                 base.limits(), List.of("q", "rif"), new Balancer.Costs(0.002, 0), false, 1);
     }
 
@@ -88,11 +104,12 @@
         return upstream(id, UpstreamState.READY, 0);
     }
 
+    /** An upstream of zone {@code id % 2} and cell {@code id / 3}; {@code startedAt} 0 means long ago. */
     static Upstream upstream(long id, UpstreamState state, long startedAt) {
         return new Upstream(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
-    /** Lists upstreams 0 to count - 1 as ready and long started. */
+    /** Delivers a list with upstreams 0 to count - 1, all ready and started long ago. */
     RecordingHost withUpstreams(int count) {
         List<Upstream> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -102,22 +119,24 @@
         return this;
     }
 
-    void request(long id, int requestClass) {
-        request(id, requestClass, 1_000 * MS);
+    /** Lets a request of the given class arrive, 1 s before its deadline. */
+    void request(long id, int classIndex) {
+        request(id, classIndex, 1_000 * MS);
     }
 
-    void request(long id, int requestClass, long left) {
-        rules.requestArrived(now, new Request(id, requestClass, 0, 0, left, 0, 0, false, false));
+    void request(long id, int classIndex, long timeLeft) {
+        rules.requestArrived(now, new Request(id, classIndex, 0, 0, timeLeft, 0, 0, false, false));
     }
 
-    void outcome(Sent sent, Outcome outcome) {
-        rules.attemptEnded(now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at,
-                outcome == Outcome.OK, new float[0]);
+    /** Ends an attempt now; OK finishes its request. */
+    void endAttempt(Attempt attempt, Outcome outcome) {
+        rules.attemptEnded(now, attempt.request, attempt.number, attempt.upstream, outcome,
+                now - attempt.sentAt, outcome == Outcome.OK, new float[0]);
     }
 
-    /** Moves the clock, ringing every timer on its way. */
-    void advance(long by) {
-        long end = now + by;
+    /** Moves the clock forward and fires each timer at the time it is due. */
+    void advance(long duration) {
+        long end = now + duration;
         while (!timers.isEmpty() && timers.peek().at <= end) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
@@ -126,67 +145,71 @@
         now = end;
     }
 
-    /** Serves ids from..to one by one, each answered after {@code took}. */
-    void serve(long from, long to, int requestClass, long took) {
+    /** Serves the requests with ids from {@code from} to {@code to - 1} one after the other. */
+    void serveSequentially(long from, long to, int classIndex, long latency) {
         for (long id = from; id < to; id++) {
-            request(id, requestClass);
-            Sent sent = last();
-            advance(took);
-            outcome(sent, Outcome.OK);
+            request(id, classIndex);
+            Attempt attempt = lastAttempt();
+            advance(latency);
+            endAttempt(attempt, Outcome.OK);
         }
     }
 
-    /** Serves 4, 8, 16 and so on that come together, so that many may be out afterwards. */
-    void serveTogether(long from, int rounds, int requestClass, long took) {
-        int answered = sends.size();
+    /**
+     * Serves bursts of 4, 8, 16 and so on requests, so that the balancer allows many attempts in flight
+     * afterwards. Ids begin at {@code from}.
+     */
+    void serveGrowingBursts(long from, int rounds, int classIndex, long latency) {
+        int ended = attempts.size();
         for (int round = 0; round < rounds; round++) {
-            burst(from, from + (4L << round), requestClass);
+            burst(from, from + (4L << round), classIndex);
             from += 4L << round;
-            while (answered < sends.size()) {
-                advance(took);
-                int out = sends.size();
-                List.copyOf(sends.subList(answered, out)).forEach(sent -> outcome(sent, Outcome.OK));
-                answered = out;
+            while (ended < attempts.size()) {
+                advance(latency);
+                int sent = attempts.size();
+                List.copyOf(attempts.subList(ended, sent))
+                        .forEach(attempt -> endAttempt(attempt, Outcome.OK));
+                ended = sent;
             }
         }
     }
 
-    /** Ids from..to, all at once. */
-    void burst(long from, long to, int requestClass) {
+    /** Lets requests with ids from {@code from} to {@code to - 1} arrive at the same time. */
+    void burst(long from, long to, int classIndex) {
         for (long id = from; id < to; id++) {
-            request(id, requestClass);
+            request(id, classIndex);
         }
     }
 
-    /** Attempts sent to an upstream since that many sends. */
-    long sentTo(long upstream, int since) {
-        return sends.stream().skip(since).filter(s -> s.upstream == upstream).count();
+    /** Number of attempts sent to an upstream, not counting the first {@code skipped} attempts to any. */
+    long attemptsTo(long upstream, int skipped) {
+        return attempts.stream().skip(skipped).filter(a -> a.upstream == upstream).count();
     }
 
-    Sent last() {
-        return sends.get(sends.size() - 1);
+    Attempt lastAttempt() {
+        return attempts.get(attempts.size() - 1);
     }
 
-    List<Sent> sendsOf(long request) {
-        return sends.stream().filter(s -> s.request == request).toList();
+    List<Attempt> attemptsOf(long request) {
+        return attempts.stream().filter(a -> a.request == request).toList();
     }
 
     @Override
     public void send(long request, long upstream, long timeout) {
         log.add("send " + request + " " + upstream + " " + timeout);
-        sends.add(new Sent(request, sendsOf(request).size(), upstream, now));
+        attempts.add(new Attempt(request, attemptsOf(request).size(), upstream, now));
     }
 
     @Override
     public void refuse(long request, long retryAfter, FailureReason reason) {
         log.add("refuse " + request + " " + retryAfter);
-        answers.add("refuse " + request);
+        finalResponses.add("refuse " + request);
     }
 
     @Override
     public void fail(long request, FailureReason reason) {
         log.add("fail " + request);
-        answers.add("fail " + request);
+        finalResponses.add("fail " + request);
     }
 
     @Override
@@ -212,8 +235,8 @@
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        log.add("tell " + peer);
-        told.add(message);
+        log.add("sendToPeer " + peer);
+        peerMessages.add(message);
     }
 
     @Override
--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.RecordingHost.BY_ANY;
-import static pondridge.RecordingHost.BY_CELL;
+import static pondridge.RecordingHost.BY_KEY_ALL;
+import static pondridge.RecordingHost.BY_KEY_CELL;
 import static pondridge.RecordingHost.MS;
 import static pondridge.RecordingHost.ONCE;
 import static pondridge.RecordingHost.REPEATABLE;
@@ -39,9 +39,9 @@
         List<Long> order = new ArrayList<>();
         for (int i = 0; i < length; i++) {
             host.request(firstId + i, 0);
-            order.add(host.last().upstream());
+            order.add(host.lastAttempt().upstream());
             host.advance(MS);
-            host.outcome(host.last(), Outcome.OK);
+            host.endAttempt(host.lastAttempt(), Outcome.OK);
         }
         return order;
     }
@@ -74,13 +74,13 @@
         RecordingHost host = host(REPEATABLE).withUpstreams(3);
         List<Long> order = turn(host, 3, 0);
         host.request(10, 0);
-        assertEquals(order.get(0), host.last().upstream());
+        assertEquals(order.get(0), host.lastAttempt().upstream());
         host.request(11, 0);
         host.request(12, 0);
-        assertEquals(order.get(2), host.last().upstream());
-        host.outcome(host.sendsOf(11).get(0), Outcome.OK);
+        assertEquals(order.get(2), host.lastAttempt().upstream());
+        host.endAttempt(host.attemptsOf(11).get(0), Outcome.OK);
         host.request(13, 0);
-        assertEquals(order.get(1), host.last().upstream(), "pointed holds one, the next none");
+        assertEquals(order.get(1), host.lastAttempt().upstream(), "pointed holds one, the next none");
     }
 
     @Test
@@ -100,7 +100,7 @@
     void withNothingReadyTheRequestIsRefusedAtOnce() {
         RecordingHost host = host(ONCE).withUpstreams(0);
         host.request(1, 0);
-        assertEquals(List.of("refuse 1"), host.answers);
+        assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
     @Test
@@ -108,7 +108,7 @@
         List<List<String>> logs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             RecordingHost host = host(REPEATABLE, ONCE).withUpstreams(6);
-            host.serve(0, 60, 0, 3 * MS);
+            host.serveSequentially(0, 60, 0, 3 * MS);
             for (int i = 100; i < 160; i++) {
                 host.request(i, i % 2);
                 host.advance(2 * MS);
@@ -127,10 +127,10 @@
                 new Balancer.Upstream(1, 0, 1, 0, UpstreamState.READY, 1, 0)));
         for (int i = 0; i < 200; i++) {
             host.request(i, 0);
-            host.advance(host.last().upstream() == 0 ? fast : slow);
-            host.outcome(host.last(), Outcome.OK);
+            host.advance(host.lastAttempt().upstream() == 0 ? fast : slow);
+            host.endAttempt(host.lastAttempt(), Outcome.OK);
         }
-        return List.of(host.sentTo(0, 100), host.sentTo(1, 100));
+        return List.of(host.attemptsTo(0, 100), host.attemptsTo(1, 100));
     }
 
     @Test
@@ -150,7 +150,7 @@
         host.now = timer.at() - 30;
         host.rules.timerFired(host.now, timer.token());
         host.advance(2_000 * MS);
-        assertEquals(List.of("fail 1"), host.answers);
+        assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
     @Test
@@ -158,16 +158,16 @@
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 50, 0);
         host.advance(1_000 * MS);
-        assertEquals(50, new HashSet<>(host.answers).size());
-        assertEquals(50, host.answers.size());
+        assertEquals(50, new HashSet<>(host.finalResponses).size());
+        assertEquals(50, host.finalResponses.size());
     }
 
     @Test
     void noTimeLeftIsAnsweredAtOnce() {
         RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0, 0);
-        assertEquals(List.of("refuse 1"), host.answers);
-        assertTrue(host.sends.isEmpty());
+        assertEquals(List.of("refuse 1"), host.finalResponses);
+        assertTrue(host.attempts.isEmpty());
     }
 
     @Test
@@ -176,20 +176,20 @@
         host.rules.requestArrived(host.now,
                 new Balancer.Request(1, 0, 0, 0, 1_000 * MS, 100 * MS, 0, false, false));
         host.advance(899 * MS);
-        assertTrue(host.answers.isEmpty());
+        assertTrue(host.finalResponses.isEmpty());
         host.advance(MS);
-        assertEquals(List.of("fail 1"), host.answers);
+        assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
     @Test
     void timeOutAtTheDeadlineIsFailedOnce() {
         RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
-        RecordingHost.Sent sent = host.last();
+        RecordingHost.Attempt sent = host.lastAttempt();
         host.now += 1_000 * MS;
-        host.outcome(sent, Outcome.TIMEOUT);
+        host.endAttempt(sent, Outcome.TIMEOUT);
         host.advance(100 * MS);
-        assertEquals(List.of("fail 1"), host.answers);
+        assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
     // ---------------------------------------------------------------- rule 2
@@ -202,46 +202,46 @@
             }
             RecordingHost host = host(ONCE).withUpstreams(4);
             host.request(1, 0);
-            host.outcome(host.last(), outcome);
-            assertEquals(outcome.provesNeverRan() ? 2 : 1, host.sends.size(), outcome.toString());
+            host.endAttempt(host.lastAttempt(), outcome);
+            assertEquals(outcome.provesNeverRan() ? 2 : 1, host.attempts.size(), outcome.toString());
             if (!outcome.provesNeverRan()) {
-                assertEquals(List.of("fail 1"), host.answers);
+                assertEquals(List.of("fail 1"), host.finalResponses);
             }
         }
     }
 
     @Test
     void keyedStaysInItsCellAndWithinItsTime() {
-        RecordingHost host = host(BY_CELL).withUpstreams(9);
+        RecordingHost host = host(BY_KEY_CELL).withUpstreams(9);
         host.request(1, 0);
-        long cell = host.last().upstream() / 3;
-        host.outcome(host.last(), Outcome.ERROR);
-        assertEquals(2, host.sends.size());
-        assertEquals(cell, host.last().upstream() / 3);
+        long cell = host.lastAttempt().upstream() / 3;
+        host.endAttempt(host.lastAttempt(), Outcome.ERROR);
+        assertEquals(2, host.attempts.size());
+        assertEquals(cell, host.lastAttempt().upstream() / 3);
         host.now += 699 * MS;
-        host.outcome(host.last(), Outcome.ERROR);
-        assertEquals(2, host.sends.size(), "the key is about to be forgotten");
-        assertEquals(List.of("fail 1"), host.answers);
+        host.endAttempt(host.lastAttempt(), Outcome.ERROR);
+        assertEquals(2, host.attempts.size(), "the key is about to be forgotten");
+        assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
     @Test
     void keyedWithScopeAllMayBeRefusedAfterDoubt() {
-        RecordingHost host = host(BY_ANY).withUpstreams(1);
+        RecordingHost host = host(BY_KEY_ALL).withUpstreams(1);
         host.request(1, 0);
-        host.outcome(host.last(), Outcome.RESET);
+        host.endAttempt(host.lastAttempt(), Outcome.RESET);
         host.advance(1_000 * MS);
-        assertEquals(List.of("refuse 1"), host.answers);
+        assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
     @Test
     void tryLimitIsKept() {
         RecordingHost host = host(REPEATABLE).withUpstreams(9);
         host.request(1, 0);
-        for (int i = 0; i < 5 && host.answers.isEmpty(); i++) {
-            host.outcome(host.last(), Outcome.REJECTED);
+        for (int i = 0; i < 5 && host.finalResponses.isEmpty(); i++) {
+            host.endAttempt(host.lastAttempt(), Outcome.REJECTED);
         }
-        assertEquals(3, host.sends.size());
-        assertEquals(List.of("refuse 1"), host.answers);
+        assertEquals(3, host.attempts.size());
+        assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
     // ---------------------------------------------------------------- rule 3
@@ -267,7 +267,7 @@
             assertEquals(i + 2, host.subscriptions);
         }
         host.request(1, 0);
-        assertEquals(1, host.sends.size());
+        assertEquals(1, host.attempts.size());
         host.rules.listUpdated(host.now, ListUpdateType.FAILED, List.of());
         host.advance(2_000 * MS);
         assertEquals(9, host.subscriptions, "after eight failures it waits");
@@ -286,12 +286,12 @@
     @Test
     void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
-        host.serve(0, 2_000, 0, 5 * MS);
+        host.serveSequentially(0, 2_000, 0, 5 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
-        int before = host.sends.size();
-        host.serve(5_000, 5_300, 0, 5 * MS);
-        long cold = host.sentTo(9, before);
+        int before = host.attempts.size();
+        host.serveSequentially(5_000, 5_300, 0, 5 * MS);
+        long cold = host.attemptsTo(9, before);
         // 1.5 s at 200 a second over 4 warm servers: 75 each; the cold share is 0.3 and has hardly grown.
         assertTrue(cold > 5 && cold < 40, "cold upstream got " + cold);
     }
@@ -299,13 +299,13 @@
     @Test
     void aSidecarJustStartedGivesColdUpstreamsTheirShareToo() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
-        host.serve(0, 200, 0, 10 * MS);
+        host.serveSequentially(0, 200, 0, 10 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
-        int before = host.sends.size();
-        host.serve(1_000, 1_200, 0, 10 * MS);
+        int before = host.attempts.size();
+        host.serveSequentially(1_000, 1_200, 0, 10 * MS);
         // 2 s at 100 a second over 4 warm servers: 50 each; the cold share of 0.3 grows to 0.5 meanwhile.
-        long cold = host.sentTo(9, before);
+        long cold = host.attemptsTo(9, before);
         assertTrue(cold > 10 && cold < 25, "cold upstream got " + cold);
     }
 
@@ -315,12 +315,12 @@
         int cold = 0;
         for (int seed = 0; seed < 50; seed++) {
             RecordingHost one = new RecordingHost(settings(ONCE), seed).withUpstreams(60);
-            one.serve(0, 100, 0, 100 * MS);
+            one.serveSequentially(0, 100, 0, 100 * MS);
             one.rules.listUpdated(one.now, ListUpdateType.DELTA,
                     List.of(upstream(99, UpstreamState.READY, one.now)));
-            int since = one.sends.size();
-            one.serve(1_000, 1_060, 0, 100 * MS);
-            cold += (int) one.sentTo(99, since);
+            int since = one.attempts.size();
+            one.serveSequentially(1_000, 1_060, 0, 100 * MS);
+            cold += (int) one.attemptsTo(99, since);
         }
         // 6 s: a warm one gets 50, of which the share of 0.3 to 0.8 leaves 27.
         assertTrue(cold > 20 && cold < 40, "of 50 sidecars " + cold);
@@ -338,20 +338,20 @@
     /** What a cold upstream gets in 6 s, by the times in which it and the warm ones answer. */
     private static long coldTurns(long cold, long warm) {
         RecordingHost host = host(ONCE).withUpstreams(4);
-        host.serve(0, 400, 0, 60 * MS);
+        host.serveSequentially(0, 400, 0, 60 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
-        int before = host.sends.size();
+        int before = host.attempts.size();
         long end = host.now + 6_000 * MS;
         for (int id = 1_000; host.now < end; id++) {
             host.request(id, 0);
-            RecordingHost.Sent sent = host.last();
+            RecordingHost.Attempt sent = host.lastAttempt();
             long took = sent.upstream() == 9 ? cold : warm;
             host.advance(took);
-            host.outcome(sent, Outcome.OK);
+            host.endAttempt(sent, Outcome.OK);
             host.advance(220 * MS - took);
         }
-        return host.sentTo(9, before);
+        return host.attemptsTo(9, before);
     }
 
     @Test
@@ -360,13 +360,13 @@
         int warm = 0;
         for (int seed = 0; seed < 100; seed++) {
             RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(4);
-            host.serve(0, 20, 0, 500 * MS);
+            host.serveSequentially(0, 20, 0, 500 * MS);
             host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                     List.of(upstream(9, UpstreamState.READY, host.now)));
-            int before = host.sends.size();
-            host.serve(100, 105, 0, 300 * MS);
-            cold += (int) host.sentTo(9, before);
-            warm += 5 - (int) host.sentTo(9, before);
+            int before = host.attempts.size();
+            host.serveSequentially(100, 105, 0, 300 * MS);
+            cold += (int) host.attemptsTo(9, before);
+            warm += 5 - (int) host.attemptsTo(9, before);
         }
         // A warm one gets about 120; the cold share of 0.3 grows to 0.4 in these 1.5 s.
         assertTrue(cold > 5 && cold < 0.5 * warm / 4, "cold got " + cold + ", warm ones " + warm);
@@ -379,7 +379,7 @@
             host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                     List.of(upstream(9, UpstreamState.READY, host.now)));
             host.burst(0, 3, 0);
-            assertEquals(0, host.sentTo(9, 0));
+            assertEquals(0, host.attemptsTo(9, 0));
         }
     }
 
@@ -388,67 +388,69 @@
     @Test
     void silentUpstreamLosesItsTurns() {
         RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
-        host.serve(0, 40, 0, 20 * MS);
-        int before = host.sends.size();
+        host.serveSequentially(0, 40, 0, 20 * MS);
+        int before = host.attempts.size();
         for (int i = 100; i < 160; i++) {
             host.request(i, 0);
-            RecordingHost.Sent sent = host.last();
+            RecordingHost.Attempt sent = host.lastAttempt();
             host.advance(20 * MS);
             if (sent.upstream() != 2) {
-                host.outcome(sent, Outcome.OK);
+                host.endAttempt(sent, Outcome.OK);
             }
         }
-        long lost = host.sentTo(2, before);
+        long lost = host.attemptsTo(2, before);
         assertTrue(lost <= 4, "silent upstream got " + lost + " of 60");
     }
 
     @Test
     void fastErrorsDoNotWinTurns() {
         RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
-        host.serve(0, 40, 0, 20 * MS);
-        int before = host.sends.size();
+        host.serveSequentially(0, 40, 0, 20 * MS);
+        int before = host.attempts.size();
         for (int i = 100; i < 200; i++) {
             host.request(i, 0);
-            RecordingHost.Sent sent = host.last();
+            RecordingHost.Attempt sent = host.lastAttempt();
             host.advance(sent.upstream() == 2 ? MS : 20 * MS);
-            host.outcome(sent, sent.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
+            host.endAttempt(sent, sent.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
         }
-        long lost = host.sentTo(2, before);
+        long lost = host.attemptsTo(2, before);
         assertTrue(lost <= 8, "failing upstream got " + lost + " of 100, a third of an even turn");
     }
 
     @Test
     void commonSlownessDoesNotEmptyThePattern() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
-        host.serve(0, 200, 0, 20 * MS);
-        host.serve(1_000, 1_100, 0, 80 * MS);
-        int before = host.sends.size();
-        host.serve(2_000, 2_040, 0, 80 * MS);
+        host.serveSequentially(0, 200, 0, 20 * MS);
+        host.serveSequentially(1_000, 1_100, 0, 80 * MS);
+        int before = host.attempts.size();
+        host.serveSequentially(2_000, 2_040, 0, 80 * MS);
         Map<Long, Integer> turns = new HashMap<>();
-        host.sends.subList(before, before + 40).forEach(s -> turns.merge(s.upstream(), 1, Integer::sum));
+        host.attempts.subList(before, before + 40).forEach(s -> turns.merge(s.upstream(), 1, Integer::sum));
         turns.values().forEach(count -> assertEquals(10, count));
-        assertTrue(host.answers.isEmpty(), "nothing refused: " + host.answers);
+        assertTrue(host.finalResponses.isEmpty(), "nothing refused: " + host.finalResponses);
     }
 
     @Test
     void troubleOfMostDoesNotPressAllWorkOnTheRest() {
         for (int bad = 1; bad <= 3; bad++) {
-            RecordingHost host = new RecordingHost(RecordingHost.loneSettings(ONCE), 7).withUpstreams(4);
-            host.serve(0, 40, 0, 20 * MS);
+            RecordingHost host = new RecordingHost(RecordingHost.singleSidecarSettings(ONCE), 7)
+                    .withUpstreams(4);
+            host.serveSequentially(0, 40, 0, 20 * MS);
             for (int i = 100; i < 130; i++) {
                 host.request(i, 0);
                 host.advance(MS);
-                host.outcome(host.last(), host.last().upstream() < bad ? Outcome.ERROR : Outcome.OK);
+                host.endAttempt(host.lastAttempt(),
+                        host.lastAttempt().upstream() < bad ? Outcome.ERROR : Outcome.OK);
             }
-            int before = host.sends.size();
+            int before = host.attempts.size();
             host.burst(200, 260, 0);
             long suspects = 0;
             for (int id = 0; id < bad; id++) {
-                suspects += host.sentTo(id, before);
+                suspects += host.attemptsTo(id, before);
             }
             // Up to half, each gets its trial at most.
             assertTrue(bad <= 2 ? suspects <= bad : suspects > bad, bad + " bad ones got " + suspects);
-            assertTrue(host.sentTo(3, before) > 1, "the sound one has its own work");
+            assertTrue(host.attemptsTo(3, before) > 1, "the sound one has its own work");
         }
     }
 
@@ -457,34 +459,34 @@
         RecordingHost host = host(REPEATABLE).withUpstreams(2);
         for (int i = 0; i < 4; i++) {
             host.request(i, 0);
-            host.outcome(host.last(), Outcome.CONNECT_FAILED);
+            host.endAttempt(host.lastAttempt(), Outcome.CONNECT_FAILED);
         }
-        int before = host.sends.size();
+        int before = host.attempts.size();
         host.request(10, 0);
-        assertTrue(host.sends.size() > before, "with every gate shut the pattern decides alone");
+        assertTrue(host.attempts.size() > before, "with every gate shut the pattern decides alone");
     }
 
     @Test
     void sheddingEndsSoonAfterTheJam() {
         RecordingHost host = host(REPEATABLE).withUpstreams(20);
-        host.serve(0, 40, 0, 20 * MS);
+        host.serveSequentially(0, 40, 0, 20 * MS);
         host.burst(100, 140, 0);
         host.advance(1_000 * MS);
-        host.sends.stream().filter(s -> s.request() >= 100).toList()
-                .forEach(s -> host.outcome(s, Outcome.CANCELLED));
-        int jam = host.sends.size();
+        host.attempts.stream().filter(s -> s.request() >= 100).toList()
+                .forEach(s -> host.endAttempt(s, Outcome.CANCELLED));
+        int jam = host.attempts.size();
         for (int i = 200; i < 300; i++) {
             if (i == 280) {
-                jam = host.sends.size();
+                jam = host.attempts.size();
             }
             host.request(i, 0);
             host.advance(20 * MS);
-            if (host.last().request() == i) {
-                host.outcome(host.last(), Outcome.OK);
+            if (host.lastAttempt().request() == i) {
+                host.endAttempt(host.lastAttempt(), Outcome.OK);
             }
             host.advance(30 * MS);
         }
-        assertTrue(host.sends.size() - jam >= 19, "8 aims after the jam " + (host.sends.size() - jam)
+        assertTrue(host.attempts.size() - jam >= 19, "8 aims after the jam " + (host.attempts.size() - jam)
                 + " of 20 are sent");
     }
 
@@ -497,9 +499,10 @@
             host.advance(3 * MS);
         }
         host.advance(500 * MS);
-        int before = host.sends.size();
+        int before = host.attempts.size();
         host.burst(100, 140, 0);
-        assertTrue(host.sends.size() - before < 20, "sent " + (host.sends.size() - before) + " into a jam");
+        assertTrue(host.attempts.size() - before < 20,
+                "sent " + (host.attempts.size() - before) + " into a jam");
     }
 
     /** A sidecar that sheds all would not see its upstreams recover: in any jam a few requests go on. */
@@ -510,12 +513,12 @@
             host.request(i, 0);
             host.advance(5 * MS);
         }
-        int before = host.sends.size();
+        int before = host.attempts.size();
         for (int i = 1_000; i < 1_400; i++) {
             host.request(i, 0);
             host.advance(5 * MS);
         }
-        int sent = host.sends.size() - before;
+        int sent = host.attempts.size() - before;
         assertTrue(sent >= 20 && sent <= 120, "of 400 in a lasting jam " + sent);
     }
 
@@ -523,11 +526,11 @@
     void nothingIsKeptOfUpstreamsThatHaveLeft() {
         RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
-        RecordingHost.Sent sent = host.last();
+        RecordingHost.Attempt sent = host.lastAttempt();
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of());
         assertTrue(host.rules.describeState(host.now).startsWith("0 ready of 1 known"),
                 host.rules.describeState(host.now));
-        host.outcome(sent, Outcome.OK);
+        host.endAttempt(sent, Outcome.OK);
         assertTrue(host.rules.describeState(host.now).startsWith("0 ready of 0 known"),
                 host.rules.describeState(host.now));
     }
@@ -541,43 +544,44 @@
     /** Where no limit per upstream binds, all that come together after a start are not sent together. */
     @Test
     void attemptsThatAreOutAreBoundedUntilAnswersCome() {
-        RecordingHost host = new RecordingHost(RecordingHost.peerSettings(ONCE), 7).withUpstreams(100);
+        RecordingHost host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7).withUpstreams(100);
         host.burst(0, 100, 0);
-        assertTrue(host.sends.size() <= 8, "at once " + host.sends.size());
-        host = new RecordingHost(RecordingHost.peerSettings(ONCE), 7).withUpstreams(100);
-        host.serveTogether(1_000, 6, 0, 20 * MS);
-        int before = host.sends.size();
+        assertTrue(host.attempts.size() <= 8, "at once " + host.attempts.size());
+        host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7).withUpstreams(100);
+        host.serveGrowingBursts(1_000, 6, 0, 20 * MS);
+        int before = host.attempts.size();
         host.burst(5_000, 5_080, 0);
-        assertTrue(host.sends.size() - before >= 64, "once all was in time " + (host.sends.size() - before));
+        assertTrue(host.attempts.size() - before >= 64,
+                "once all was in time " + (host.attempts.size() - before));
     }
 
     @Test
     void silenceBringsNoSecondCopy() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
-        host.serve(0, 80, 0, 20 * MS);
+        host.serveSequentially(0, 80, 0, 20 * MS);
         host.request(100, 0);
         host.advance(300 * MS);
-        assertEquals(1, host.sendsOf(100).size(), "one attempt at a time");
+        assertEquals(1, host.attemptsOf(100).size(), "one attempt at a time");
     }
 
     // ---------------------------------------------------------------- warnings
 
     private static RecordingHost peer(int seed) {
-        return new RecordingHost(RecordingHost.peerSettings(ONCE), seed).withUpstreams(20);
+        return new RecordingHost(RecordingHost.peerMessageSettings(ONCE), seed).withUpstreams(20);
     }
 
     /** Has a sidecar that sends to upstream 3 alone find it silent; what it tells of that. */
     private static List<byte[]> warnings(int attempts) {
-        RecordingHost host = new RecordingHost(RecordingHost.peerSettings(ONCE), 7);
+        RecordingHost host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7);
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(upstream(1), upstream(2)));
-        host.serve(0, 400, 0, 20 * MS);
-        assertTrue(host.told.isEmpty(), "nothing to tell while all answer");
+        host.serveSequentially(0, 400, 0, 20 * MS);
+        assertTrue(host.peerMessages.isEmpty(), "nothing to tell while all answer");
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of(upstream(3)));
         for (int i = 0; i < attempts; i++) {
             host.request(1_000 + i, 0);
             host.advance(2_000 * MS);
         }
-        return host.told;
+        return host.peerMessages;
     }
 
     @Test
@@ -585,32 +589,32 @@
         List<byte[]> told = warnings(8);
         assertFalse(told.isEmpty());
         RecordingHost host = peer(7);
-        host.serve(0, 40, 0, 20 * MS);
+        host.serveSequentially(0, 40, 0, 20 * MS);
         for (int from = 1; from <= 9; from++) {
             host.rules.peerMessageReceived(host.now, from, told.get(0));
         }
-        int before = host.sends.size();
-        host.serve(100, 140, 0, 5 * MS);
-        assertEquals(0, host.sentTo(3, before));
+        int before = host.attempts.size();
+        host.serveSequentially(100, 140, 0, 5 * MS);
+        assertEquals(0, host.attemptsTo(3, before));
         host.advance(10_000 * MS);
-        before = host.sends.size();
-        host.serve(200, 220, 0, 5 * MS);
-        assertEquals(1, host.sentTo(3, before), "warnings fade");
+        before = host.attempts.size();
+        host.serveSequentially(200, 220, 0, 5 * MS);
+        assertEquals(1, host.attemptsTo(3, before), "warnings fade");
     }
 
     @Test
     void warningsOfAllUpstreamsShutNone() {
         RecordingHost host = peer(7);
-        host.serve(0, 40, 0, 20 * MS);
+        host.serveSequentially(0, 40, 0, 20 * MS);
         for (int id = 0; id < 20; id++) {
             for (int from = 1; from <= 9; from++) {
                 host.rules.peerMessageReceived(host.now, from, new byte[] {0, 0, 0, (byte) id});
             }
         }
-        int before = host.sends.size();
-        host.serve(100, 120, 0, 5 * MS);
+        int before = host.attempts.size();
+        host.serveSequentially(100, 120, 0, 5 * MS);
         for (int id = 0; id < 20; id++) {
-            assertEquals(1, host.sentTo(id, before), "upstream " + id);
+            assertEquals(1, host.attemptsTo(id, before), "upstream " + id);
         }
     }
 
@@ -620,48 +624,48 @@
         for (byte[] odd : new byte[][] {{}, {1}, {0, 0, 0, 99}, {0, 0, 0, 3, 7}, new byte[256]}) {
             host.rules.peerMessageReceived(host.now, 50_000, odd);
         }
-        host.serve(0, 20, 0, 5 * MS);
-        assertEquals(20, host.sends.size());
+        host.serveSequentially(0, 20, 0, 5 * MS);
+        assertEquals(20, host.attempts.size());
     }
 
     @Test
     void warningsKeepToTheirPartOfWhatMessagesCost() {
         RecordingHost host = peer(7);
         for (int i = 0; i < 500; i++) {
-            int before = host.sends.size();
+            int before = host.attempts.size();
             host.request(i, 0);
             host.advance(1_000 * MS);
-            List.copyOf(host.sends.subList(before, host.sends.size()))
-                    .forEach(sent -> host.outcome(sent, Outcome.CANCELLED));
+            List.copyOf(host.attempts.subList(before, host.attempts.size()))
+                    .forEach(sent -> host.endAttempt(sent, Outcome.CANCELLED));
         }
-        int bytes = host.told.stream().mapToInt(message -> message.length).sum();
+        int bytes = host.peerMessages.stream().mapToInt(message -> message.length).sum();
         // 99 receivers at 0.04 for 256 bytes a request: one per cent of all worth is 0.65 bytes a request.
-        assertTrue(bytes > 0 && bytes <= 0.65 * host.sends.size(), bytes + " for " + host.sends.size());
+        assertTrue(bytes > 0 && bytes <= 0.65 * host.attempts.size(), bytes + " for " + host.attempts.size());
     }
 
     /** Where a whole turn takes long, a shut gate is not tried at each of its turns. */
     @Test
     void aSilentUpstreamIsTriedLessOftenThanItsTurns() {
         RecordingHost host = host(ONCE).withUpstreams(20);
-        host.serve(0, 100, 0, 20 * MS);
+        host.serveSequentially(0, 100, 0, 20 * MS);
         host.advance(20_000 * MS);
-        int before = host.sends.size();
+        int before = host.attempts.size();
         for (int i = 1_000; i < 1_100; i++) {
             host.request(i, 0);
-            RecordingHost.Sent sent = host.last();
+            RecordingHost.Attempt sent = host.lastAttempt();
             boolean silent = sent.upstream() == 3;
             host.advance(silent ? 1_000 * MS : 20 * MS);
-            host.outcome(sent, silent ? Outcome.CANCELLED : Outcome.OK);
+            host.endAttempt(sent, silent ? Outcome.CANCELLED : Outcome.OK);
             host.advance(480 * MS);
         }
-        long tries = host.sentTo(3, before);
+        long tries = host.attemptsTo(3, before);
         assertTrue(tries >= 1 && tries <= 3, "tried " + tries + " times in 5 turns");
     }
 
     // ---------------------------------------------------------------- a look before a send
 
     private static RecordingHost lookingHost(int replicas) {
-        return new RecordingHost(RecordingHost.lookingSettings(replicas, REPEATABLE), 7).withUpstreams(10);
+        return new RecordingHost(RecordingHost.loadProbeSettings(replicas, REPEATABLE), 7).withUpstreams(10);
     }
 
     /** Answers every probe so far: so many in hand at each upstream, the last of them at {@code idle}. */
@@ -680,11 +684,11 @@
     void busyEntriesArePassedOverWhereAProbeIsAllButFree() {
         RecordingHost host = lookingHost(100);
         host.request(1, 0);
-        assertTrue(host.sends.isEmpty(), "it looks first");
+        assertTrue(host.attempts.isEmpty(), "it looks first");
         List<String> asked = host.log.stream().filter(line -> line.startsWith("probe ")).toList();
         assertEquals(5, asked.size());
         tell(host, 3, 2);
-        assertEquals(asked.get(2), "probe " + host.last().upstream());
+        assertEquals(asked.get(2), "probe " + host.lastAttempt().upstream());
     }
 
     @Test
@@ -692,7 +696,7 @@
         RecordingHost host = lookingHost(100);
         host.request(1, 0);
         host.advance(30 * MS);
-        assertEquals(1, host.sends.size());
+        assertEquals(1, host.attempts.size());
     }
 
     @Test
@@ -702,11 +706,12 @@
             host.request(i, 0);
             tell(host, 0, 0);
             host.advance(100 * MS);
-            host.outcome(host.last(), Outcome.OK);
+            host.endAttempt(host.lastAttempt(), Outcome.OK);
         }
         host.request(100, 0);
         tell(host, 9, -1);
-        assertEquals(List.of("refuse 100"), host.answers, "ten turns of 100 ms each against an aim of 500");
+        assertEquals(List.of("refuse 100"), host.finalResponses,
+                "ten turns of 100 ms each against an aim of 500");
     }
 
     @Test
@@ -714,18 +719,18 @@
         RecordingHost host = lookingHost(100);
         host.request(1, 0);
         tell(host, 0, 0);
-        assertEquals(List.of("send 1 " + host.last().upstream() + " " + 499 * MS),
+        assertEquals(List.of("send 1 " + host.lastAttempt().upstream() + " " + 499 * MS),
                 host.log.stream().filter(line -> line.startsWith("send")).toList());
         host = lookingHost(3);
         host.request(1, 0);
-        assertTrue(host.log.contains("send 1 " + host.last().upstream() + " 0"));
+        assertTrue(host.log.contains("send 1 " + host.lastAttempt().upstream() + " 0"));
     }
 
     @Test
     void fewSidecarsDoNotLook() {
         RecordingHost host = lookingHost(3);
         host.request(1, 0);
-        assertEquals(1, host.sends.size());
+        assertEquals(1, host.attempts.size());
         assertFalse(host.log.stream().anyMatch(line -> line.startsWith("probe ")));
     }
 
@@ -736,20 +741,20 @@
         int[] sent = new int[2];
         for (int seed = 0; seed < 100; seed++) {
             RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(40);
-            host.serveTogether(1_000, 3, 0, 20 * MS);
+            host.serveGrowingBursts(1_000, 3, 0, 20 * MS);
             for (int i = 0; i < 20; i++) {
                 host.request(i, 0);
-                RecordingHost.Sent last = host.last();
+                RecordingHost.Attempt last = host.lastAttempt();
                 host.advance(5 * MS);
                 if (i % 2 == 0 && last.request() == i) {
-                    host.outcome(last, Outcome.OK);
+                    host.endAttempt(last, Outcome.OK);
                 }
             }
             host.advance(500 * MS);
-            int before = host.sends.size();
+            int before = host.attempts.size();
             host.rules.requestArrived(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, 0,
                     seed % 2 == 1, false));
-            sent[seed % 2] += host.sends.size() - before;
+            sent[seed % 2] += host.attempts.size() - before;
         }
         assertTrue(sent[0] > 10 && sent[1] < sent[0] / 2, "first tries " + sent[0] + ", retries " + sent[1]);
     }
@@ -762,34 +767,35 @@
             host.advance(100 * MS);
         }
         host.advance(1_000 * MS);
-        host.sends.forEach(sent -> host.outcome(sent, Outcome.TIMEOUT));
-        int before = host.sends.size();
+        host.attempts.forEach(sent -> host.endAttempt(sent, Outcome.TIMEOUT));
+        int before = host.attempts.size();
         host.burst(100, 140, 0);
-        assertTrue(host.sends.size() - before < 16, "nothing came in time: " + (host.sends.size() - before));
+        assertTrue(host.attempts.size() - before < 16,
+                "nothing came in time: " + (host.attempts.size() - before));
         host.advance(30_000 * MS);
-        host.serve(200, 300, 0, 20 * MS);
-        assertEquals(100, host.sends.stream().filter(sent -> sent.request() >= 200).count());
+        host.serveSequentially(200, 300, 0, 20 * MS);
+        assertEquals(100, host.attempts.stream().filter(sent -> sent.request() >= 200).count());
     }
 
     @Test
     void heldWorkIsSentNewestFirst() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
-        int out = host.sends.size();
+        int out = host.attempts.size();
         assertTrue(out < 6, "some are held");
         host.advance(10 * MS);
-        host.outcome(host.sends.get(0), Outcome.OK);
-        assertEquals(5, host.sends.get(out).request());
+        host.endAttempt(host.attempts.get(0), Outcome.OK);
+        assertEquals(5, host.attempts.get(out).request());
     }
 
     @Test
     void hopelessLaterTriesAreAnsweredAtOnceUnderPressure() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
-        int sent = host.sends.size();
+        int sent = host.attempts.size();
         host.request(50, 0, 400 * MS);
-        assertEquals(List.of("refuse 50"), host.answers, "600 ms of an aim of 500 are gone");
-        assertEquals(sent, host.sends.size());
+        assertEquals(List.of("refuse 50"), host.finalResponses, "600 ms of an aim of 500 are gone");
+        assertEquals(sent, host.attempts.size());
     }
 
     @Test
@@ -798,9 +804,10 @@
         for (int i = 0; i < 30; i++) {
             host.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
         }
-        int answered = host.answers.size();
+        int answered = host.finalResponses.size();
         host.request(50, 0, 600 * MS);
-        assertEquals(answered, host.answers.size(), "600 ms is what first tries have: held, not answered");
+        assertEquals(answered, host.finalResponses.size(),
+                "600 ms is what first tries have: held, not answered");
     }
 
     @Test
@@ -820,23 +827,23 @@
                 new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, 0, false, false));
         host.rules.requestArrived(host.now,
                 new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, 0, false, false));
-        int out = host.sends.size();
+        int out = host.attempts.size();
         host.advance(10 * MS);
-        host.outcome(host.sends.get(0), Outcome.OK);
-        assertEquals(10, host.sends.get(out).request(), "not the newest, but the tenant that had nothing");
+        host.endAttempt(host.attempts.get(0), Outcome.OK);
+        assertEquals(10, host.attempts.get(out).request(), "not the newest, but the tenant that had nothing");
     }
 
     @Test
     void aServiceOfOnceAloneStillTriesASuspectAgain() {
         RecordingHost host = host(ONCE).withUpstreams(2);
-        host.serve(0, 40, 0, 20 * MS);
+        host.serveSequentially(0, 40, 0, 20 * MS);
         for (int i = 100; i < 1_200; i++) {
             host.request(i, 0);
-            RecordingHost.Sent sent = host.last();
+            RecordingHost.Attempt sent = host.lastAttempt();
             host.advance(20 * MS);
-            host.outcome(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
+            host.endAttempt(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
         }
-        assertTrue(host.sends.subList(host.sends.size() - 20, host.sends.size()).stream()
+        assertTrue(host.attempts.subList(host.attempts.size() - 20, host.attempts.size()).stream()
                 .anyMatch(s -> s.upstream() == 1), "it came back");
     }
 
--- a/src/test/java/pondridge/UnusualSettingsTest.java
+++ b/src/test/java/pondridge/UnusualSettingsTest.java
@@ -32,30 +32,31 @@
     @Test
     void oneServerTakesAllInTurnAndIsTriedAgainWhenItReturns() {
         RecordingHost host = bare(3, RecordingHost.ONCE).withUpstreams(1);
-        host.serve(0, 50, 0, 10 * MS);
-        assertEquals(50, host.sends.size());
+        host.serveSequentially(0, 50, 0, 10 * MS);
+        assertEquals(50, host.attempts.size());
         host.request(100, 0);
-        host.outcome(host.last(), Outcome.CONNECT_FAILED);
-        assertEquals(List.of("refuse 100"), host.answers, "no other server, and it never ran");
+        host.endAttempt(host.lastAttempt(), Outcome.CONNECT_FAILED);
+        assertEquals(List.of("refuse 100"), host.finalResponses, "no other server, and it never ran");
         host.advance(2_000 * MS);
         host.request(101, 0);
-        assertEquals(101, host.last().request());
+        assertEquals(101, host.lastAttempt().request());
     }
 
     @Test
     void manyServersAllGetTheirTurn() {
         RecordingHost host = bare(3, RecordingHost.REPEATABLE).withUpstreams(500);
-        host.serve(0, 500, 0, MS);
-        assertEquals(500, host.sends.stream().mapToLong(RecordingHost.Sent::upstream).distinct().count());
+        host.serveSequentially(0, 500, 0, MS);
+        assertEquals(500,
+                host.attempts.stream().mapToLong(RecordingHost.Attempt::upstream).distinct().count());
     }
 
     @Test
     void aTryLimitOfOneMeansNoFurtherAttempt() {
         RecordingHost host = bare(1, RecordingHost.REPEATABLE).withUpstreams(3);
         host.request(1, 0);
-        host.outcome(host.last(), Outcome.REJECTED);
-        assertEquals(1, host.sends.size());
-        assertEquals(List.of("refuse 1"), host.answers);
+        host.endAttempt(host.lastAttempt(), Outcome.REJECTED);
+        assertEquals(1, host.attempts.size());
+        assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
     @Test
@@ -64,9 +65,10 @@
         for (int i = 0; i < 40; i++) {
             host.request(i, i % 2);
         }
-        host.rules.clientDisconnected(host.now, host.last().request());
+        host.rules.clientDisconnected(host.now, host.lastAttempt().request());
         host.advance(3_000 * MS);
-        assertTrue(host.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")), "unasked");
+        assertTrue(host.log.stream().noneMatch(l -> l.matches("(cancel|probe|sendToPeer|close).*")),
+                "unasked");
         assertTrue(host.log.stream().anyMatch(l -> l.startsWith("refuse")));
         assertTrue(host.log.stream().noneMatch(l -> l.matches("refuse \\d+ [1-9].*")), "no wait is told");
     }
@@ -74,13 +76,13 @@
     @Test
     void aListThatEmptiesAndRefillsStartsAfresh() {
         RecordingHost host = bare(3, RecordingHost.REPEATABLE).withUpstreams(4);
-        host.serve(0, 20, 0, 10 * MS);
+        host.serveSequentially(0, 20, 0, 10 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of());
         host.request(100, 0);
-        assertEquals(List.of("refuse 100"), host.answers, "nothing ready");
+        assertEquals(List.of("refuse 100"), host.finalResponses, "nothing ready");
         host.withUpstreams(4);
         host.request(101, 0);
-        assertEquals(101, host.last().request());
+        assertEquals(101, host.lastAttempt().request());
     }
 
     @Test
@@ -92,7 +94,7 @@
             other.request(i, 0);
             one.advance(MS);
             other.advance(MS);
-            RecordingHost.Sent sent = one.last();
+            RecordingHost.Attempt sent = one.lastAttempt();
             one.rules.attemptEnded(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
             float[] report = {9, -1, 7e9f};
             other.rules.attemptEnded(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
@@ -106,14 +108,15 @@
                 new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, KeyScope.ALL, 0, true);
         RecordingHost host = new RecordingHost(RecordingHost.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
-        RecordingHost.Sent sent = host.last();
+        RecordingHost.Attempt sent = host.lastAttempt();
         host.advance(100 * MS);
         host.rules.firstByte(host.now, 1, 0, sent.upstream(), 100 * MS);
         host.advance(2_000 * MS);
-        assertEquals(List.of(), host.answers);
-        host.outcome(sent, Outcome.RESET);
-        assertEquals(1, host.sends.size());
-        assertEquals(List.of("refuse 1"), host.answers, "a repeatable request may be tried by its client");
+        assertEquals(List.of(), host.finalResponses);
+        host.endAttempt(sent, Outcome.RESET);
+        assertEquals(1, host.attempts.size());
+        assertEquals(List.of("refuse 1"), host.finalResponses,
+                "a repeatable request may be tried by its client");
     }
 
     @Test
@@ -121,8 +124,8 @@
         for (Outcome doubt : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
             RecordingHost host = bare(3, RecordingHost.ONCE).withUpstreams(6);
             host.request(doubt.ordinal(), 0);
-            host.outcome(host.last(), doubt);
-            assertEquals(1, host.sendsOf(doubt.ordinal()).size(), doubt.name());
+            host.endAttempt(host.lastAttempt(), doubt);
+            assertEquals(1, host.attemptsOf(doubt.ordinal()).size(), doubt.name());
         }
     }
 
@@ -133,7 +136,7 @@
                 RecordingHost.upstream(0, UpstreamState.DRAINING, 0),
                 RecordingHost.upstream(1, UpstreamState.DRAINING, 0)));
         host.request(1, 0);
-        assertEquals(0, host.sends.size());
-        assertEquals(List.of("refuse 1"), host.answers);
+        assertEquals(0, host.attempts.size());
+        assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 }
