--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -28,16 +28,18 @@
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.UpstreamState;
 
+/** Checks the actions that {@link Rules} orders upon fixed sequences of events. */
 class RulesTest {
 
+    /** A host with the default settings, a fixed seed and no upstreams yet. */
     private static RecordingHost host(Balancer.RequestClass... classes) {
         return new RecordingHost(settings(classes), 7);
     }
 
-    /** One turn of upstreams by requests that are answered at once, so that counts always tie. */
-    private static List<Long> turn(RecordingHost host, int length, long firstId) {
+    /** The upstreams of {@code count} requests in order; each attempt ends before the next request. */
+    private static List<Long> pickOrder(RecordingHost host, int count, long firstId) {
         List<Long> order = new ArrayList<>();
-        for (int i = 0; i < length; i++) {
+        for (int i = 0; i < count; i++) {
             host.request(firstId + i, 0);
             order.add(host.lastAttempt().upstream());
             host.advance(MS);
@@ -46,33 +48,33 @@
         return order;
     }
 
-    // ---------------------------------------------------------------- the mechanism
+    // ---------------------------------------------------------------- round robin
 
     @Test
-    void orderIsCycledAndEvenWhileCountsTie() {
+    void requestsCycleThroughAllUpstreamsInAFixedOrderWhileNoneIsBusier() {
         RecordingHost host = host(REPEATABLE).withUpstreams(5);
-        List<Long> first = turn(host, 5, 0);
+        List<Long> first = pickOrder(host, 5, 0);
         assertEquals(5, new HashSet<>(first).size());
-        assertEquals(first, turn(host, 5, 5));
-        assertEquals(first, turn(host, 5, 10));
+        assertEquals(first, pickOrder(host, 5, 5));
+        assertEquals(first, pickOrder(host, 5, 10));
     }
 
     @Test
-    void everyPermutationIsAboutEquallyLikely() {
+    void everyOrderIsAboutEquallyLikely() {
         Map<List<Long>, Integer> seen = new HashMap<>();
         for (int seed = 0; seed < 6_000; seed++) {
             RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(3);
-            seen.merge(turn(host, 3, 0), 1, Integer::sum);
+            seen.merge(pickOrder(host, 3, 0), 1, Integer::sum);
         }
         assertEquals(6, seen.size());
-        // 1000 expected each; 150 is over five standard deviations.
+        // Each is expected 1000 times; 150 is more than five standard deviations.
         seen.values().forEach(count -> assertTrue(Math.abs(count - 1_000) < 150, seen.toString()));
     }
 
     @Test
-    void lessBusyOfPointedAndNextIsChosen() {
+    void lessBusyOfTheNextTwoUpstreamsIsChosen() {
         RecordingHost host = host(REPEATABLE).withUpstreams(3);
-        List<Long> order = turn(host, 3, 0);
+        List<Long> order = pickOrder(host, 3, 0);
         host.request(10, 0);
         assertEquals(order.get(0), host.lastAttempt().upstream());
         host.request(11, 0);
@@ -80,31 +82,32 @@
         assertEquals(order.get(2), host.lastAttempt().upstream());
         host.endAttempt(host.attemptsOf(11).get(0), Outcome.OK);
         host.request(13, 0);
-        assertEquals(order.get(1), host.lastAttempt().upstream(), "pointed holds one, the next none");
+        assertEquals(order.get(1), host.lastAttempt().upstream(),
+                "the first in the cycle has an attempt in flight, the second has none");
     }
 
     @Test
-    void redrawnOnlyWhenTheReadySetChanges() {
+    void orderIsRedrawnOnlyWhenTheReadyUpstreamsChange() {
         RecordingHost host = host(REPEATABLE).withUpstreams(8);
-        List<Long> before = turn(host, 8, 0);
+        List<Long> before = pickOrder(host, 8, 0);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA, List.of(upstream(3)));
-        assertEquals(before, turn(host, 8, 20));
+        assertEquals(before, pickOrder(host, 8, 20));
         host.rules.listUpdated(host.now, ListUpdateType.DELTA, List.of(upstream(3, UpstreamState.GONE, 0)));
-        List<Long> after = turn(host, 7, 40);
+        List<Long> after = pickOrder(host, 7, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
-        assertNotEquals(before, after, "a fresh draw; this seed gives another order");
+        assertNotEquals(before, after, "the order is drawn anew; with this seed it differs");
     }
 
     @Test
-    void withNothingReadyTheRequestIsRefusedAtOnce() {
+    void requestIsRefusedAtOnceWhenNoUpstreamIsReady() {
         RecordingHost host = host(ONCE).withUpstreams(0);
         host.request(1, 0);
         assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
     @Test
-    void sameEventsGiveSameActions() {
+    void sameSeedAndEventsGiveSameActions() {
         List<List<String>> logs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             RecordingHost host = host(REPEATABLE, ONCE).withUpstreams(6);
@@ -119,31 +122,35 @@
         assertEquals(logs.get(0), logs.get(1));
     }
 
-    /** Turns of a slow and a fast upstream of two kinds, by what each takes. */
-    private static List<Long> turnsOfTwoKinds(long fast, long slow) {
+    /** Attempts to one upstream of a fast and one of a slow model that respond after the given latencies. */
+    private static List<Long> attemptsToTwoModels(long fastLatency, long slowLatency) {
         RecordingHost host = host(REPEATABLE);
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(
                 new Balancer.Upstream(0, 0, 0, 0, UpstreamState.READY, 1, 0),
                 new Balancer.Upstream(1, 0, 1, 0, UpstreamState.READY, 1, 0)));
         for (int i = 0; i < 200; i++) {
             host.request(i, 0);
-            host.advance(host.lastAttempt().upstream() == 0 ? fast : slow);
+            host.advance(host.lastAttempt().upstream() == 0 ? fastLatency : slowLatency);
             host.endAttempt(host.lastAttempt(), Outcome.OK);
         }
         return List.of(host.attemptsTo(0, 100), host.attemptsTo(1, 100));
     }
 
+    /** Guards against overloading slow machines: equal shares give them as much work as the fast ones. */
     @Test
-    void aSlowKindTakesFewerTurnsOnceItsAnswersUseUpTheAim() {
-        assertEquals(List.of(50L, 50L), turnsOfTwoKinds(20 * MS, 60 * MS), "well within the aim of 500 ms");
-        List<Long> turns = turnsOfTwoKinds(100 * MS, 300 * MS);
-        assertTrue(turns.get(1) > 15 && turns.get(1) < 35, "a third as fast, a third of the turns: " + turns);
+    void slowModelGetsFewerRequestsOnceItsLatencyNearsTheTarget() {
+        assertEquals(List.of(50L, 50L), attemptsToTwoModels(20 * MS, 60 * MS),
+                "both far below the latency target of 500 ms");
+        List<Long> attempts = attemptsToTwoModels(100 * MS, 300 * MS);
+        assertTrue(attempts.get(1) > 15 && attempts.get(1) < 35,
+                "three times as slow, so about a third of the fast model's attempts: " + attempts);
     }
 
-    // ---------------------------------------------------------------- rule 1
+    // ---------------------------------------------------------------- deadlines
 
+    /** A host with a coarse clock may fire the balancer's only timer early; it has to be set again then. */
     @Test
-    void aTimerThatRingsEarlyDoesNotLoseRequests() {
+    void timerThatFiresEarlyDoesNotLoseRequests() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.request(1, 0);
         RecordingHost.Timer timer = host.timers.poll();
@@ -154,7 +161,7 @@
     }
 
     @Test
-    void heldRequestsAreAnsweredBeforeTheirDeadline() {
+    void queuedRequestsAreFinishedByTheirDeadline() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 50, 0);
         host.advance(1_000 * MS);
@@ -163,7 +170,7 @@
     }
 
     @Test
-    void noTimeLeftIsAnsweredAtOnce() {
+    void requestWithoutTimeLeftIsRefusedAtOnce() {
         RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0, 0);
         assertEquals(List.of("refuse 1"), host.finalResponses);
@@ -171,7 +178,7 @@
     }
 
     @Test
-    void answerIsGivenBeforeTheTimeThatTheHostNeeds() {
+    void finalResponseLeavesTheHostItsResponseReserve() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.rules.requestArrived(host.now,
                 new Balancer.Request(1, 0, 0, 0, 1_000 * MS, 100 * MS, 0, false, false));
@@ -182,20 +189,20 @@
     }
 
     @Test
-    void timeOutAtTheDeadlineIsFailedOnce() {
+    void timeoutAtTheDeadlineFailsTheRequestOnce() {
         RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
-        RecordingHost.Attempt sent = host.lastAttempt();
+        RecordingHost.Attempt attempt = host.lastAttempt();
         host.now += 1_000 * MS;
-        host.endAttempt(sent, Outcome.TIMEOUT);
+        host.endAttempt(attempt, Outcome.TIMEOUT);
         host.advance(100 * MS);
         assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
-    // ---------------------------------------------------------------- rule 2
+    // ---------------------------------------------------------------- further attempts
 
     @Test
-    void onceIsResentOnlyAfterProofThatItNeverRan() {
+    void onceRequestIsSentAgainOnlyIfTheFirstAttemptNeverRan() {
         for (Outcome outcome : Outcome.values()) {
             if (outcome == Outcome.OK) {
                 continue;
@@ -211,7 +218,7 @@
     }
 
     @Test
-    void keyedStaysInItsCellAndWithinItsTime() {
+    void keyedRequestIsSentAgainOnlyInItsCellAndBeforeItsKeyExpires() {
         RecordingHost host = host(BY_KEY_CELL).withUpstreams(9);
         host.request(1, 0);
         long cell = host.lastAttempt().upstream() / 3;
@@ -220,12 +227,13 @@
         assertEquals(cell, host.lastAttempt().upstream() / 3);
         host.now += 699 * MS;
         host.endAttempt(host.lastAttempt(), Outcome.ERROR);
-        assertEquals(2, host.attempts.size(), "the key is about to be forgotten");
+        assertEquals(2, host.attempts.size(), "less than a tick is left before the key expires");
         assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
+    /** Every upstream drops a repeat with the same key, so the client may safely retry. */
     @Test
-    void keyedWithScopeAllMayBeRefusedAfterDoubt() {
+    void keyedRequestOfScopeAllIsRefusedThoughItMayHaveRun() {
         RecordingHost host = host(BY_KEY_ALL).withUpstreams(1);
         host.request(1, 0);
         host.endAttempt(host.lastAttempt(), Outcome.RESET);
@@ -234,7 +242,7 @@
     }
 
     @Test
-    void tryLimitIsKept() {
+    void attemptsPerRequestAreLimited() {
         RecordingHost host = host(REPEATABLE).withUpstreams(9);
         host.request(1, 0);
         for (int i = 0; i < 5 && host.finalResponses.isEmpty(); i++) {
@@ -244,16 +252,16 @@
         assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
-    // ---------------------------------------------------------------- rule 3
+    // ---------------------------------------------------------------- upstream list
 
     @Test
-    void drainingAndMissingUpstreamsGetNothingNew() {
+    void drainingAndRemovedUpstreamsGetNoAttempts() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(2, UpstreamState.DRAINING, 0)));
-        assertFalse(turn(host, 12, 0).contains(2L));
+        assertFalse(pickOrder(host, 12, 0).contains(2L));
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of(upstream(0), upstream(1)));
-        assertEquals(Set.of(0L, 1L), new HashSet<>(turn(host, 12, 20)));
+        assertEquals(Set.of(0L, 1L), new HashSet<>(pickOrder(host, 12, 20)));
     }
 
     @Test
@@ -270,11 +278,13 @@
         assertEquals(1, host.attempts.size());
         host.rules.listUpdated(host.now, ListUpdateType.FAILED, List.of());
         host.advance(2_000 * MS);
-        assertEquals(9, host.subscriptions, "after eight failures it waits");
+        assertEquals(9, host.subscriptions,
+                "after eight failures the next subscription waits longer than 2 s");
     }
 
+    /** The cached list does not count as a reply to the subscription. */
     @Test
-    void unansweredSubscriptionIsRepeated() {
+    void subscriptionIsRepeatedWhenNoListFollows() {
         RecordingHost host = new RecordingHost(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7)
                 .withUpstreams(3);
         host.advance(6_000 * MS);
@@ -538,7 +548,7 @@
     @Test
     void turnsReachEachOfAThousandAndMoreUpstreams() {
         RecordingHost host = host(REPEATABLE).withUpstreams(1_024);
-        assertEquals(1_024, new HashSet<>(turn(host, 1_024, 0)).size());
+        assertEquals(1_024, new HashSet<>(pickOrder(host, 1_024, 0)).size());
     }
 
     /** Where no limit per upstream binds, all that come together after a start are not sent together. */
