--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -291,81 +291,87 @@
         assertEquals(2, host.subscriptions);
     }
 
-    // ---------------------------------------------------------------- rule 4
+    // ---------------------------------------------------------------- slow start
 
     @Test
-    void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
+    void coldUpstreamGetsOnlyItsShareOfAWarmUpstreamsLoad() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serveSequentially(0, 2_000, 0, 5 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.serveSequentially(5_000, 5_300, 0, 5 * MS);
-        long cold = host.attemptsTo(9, before);
-        // 1.5 s at 200 a second over 4 warm servers: 75 each; the cold share is 0.3 and has hardly grown.
-        assertTrue(cold > 5 && cold < 40, "cold upstream got " + cold);
+        long cold = host.attemptsTo(9, attemptsBefore);
+        // A warm upstream gets 75: 1.5 s at 200 requests per second over 4. The share is still near 0.3.
+        assertTrue(cold > 5 && cold < 40, "attempts to the cold upstream: " + cold);
     }
 
+    /** A sidecar younger than the ramp time has seen only part of the load that the share is taken of. */
     @Test
-    void aSidecarJustStartedGivesColdUpstreamsTheirShareToo() {
+    void newSidecarGivesColdUpstreamsTheirShare() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serveSequentially(0, 200, 0, 10 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.serveSequentially(1_000, 1_200, 0, 10 * MS);
-        // 2 s at 100 a second over 4 warm servers: 50 each; the cold share of 0.3 grows to 0.5 meanwhile.
-        long cold = host.attemptsTo(9, before);
-        assertTrue(cold > 10 && cold < 25, "cold upstream got " + cold);
+        // A warm upstream gets 50: 2 s at 100 requests per second over 4. The share grows from 0.3 to 0.5.
+        long cold = host.attemptsTo(9, attemptsBefore);
+        assertTrue(cold > 10 && cold < 25, "attempts to the cold upstream: " + cold);
     }
 
-    /** A sidecar with little traffic comes round to an upstream once in many seconds. */
+    /**
+     * A sidecar with little traffic reaches each upstream only every few seconds. A cold upstream that had to
+     * wait for its place in the cycle would get less than its share.
+     */
     @Test
-    void coldUpstreamGetsItsShareAlsoWhereTurnsAreLong() {
+    void coldUpstreamGetsItsShareWhereTheCycleTakesSeconds() {
         int cold = 0;
         for (int seed = 0; seed < 50; seed++) {
-            RecordingHost one = new RecordingHost(settings(ONCE), seed).withUpstreams(60);
-            one.serveSequentially(0, 100, 0, 100 * MS);
-            one.rules.listUpdated(one.now, ListUpdateType.DELTA,
-                    List.of(upstream(99, UpstreamState.READY, one.now)));
-            int since = one.attempts.size();
-            one.serveSequentially(1_000, 1_060, 0, 100 * MS);
-            cold += (int) one.attemptsTo(99, since);
+            RecordingHost host = new RecordingHost(settings(ONCE), seed).withUpstreams(60);
+            host.serveSequentially(0, 100, 0, 100 * MS);
+            host.rules.listUpdated(host.now, ListUpdateType.DELTA,
+                    List.of(upstream(99, UpstreamState.READY, host.now)));
+            int attemptsBefore = host.attempts.size();
+            host.serveSequentially(1_000, 1_060, 0, 100 * MS);
+            cold += (int) host.attemptsTo(99, attemptsBefore);
         }
-        // 6 s: a warm one gets 50, of which the share of 0.3 to 0.8 leaves 27.
-        assertTrue(cold > 20 && cold < 40, "of 50 sidecars " + cold);
+        // A warm upstream gets 50 in 6 s; a share that grows from 0.3 to 0.8 averages to 27.
+        assertTrue(cold > 20 && cold < 40, "attempts of 50 sidecars to the cold upstream: " + cold);
     }
 
-    /** Cold ones that answer quicker than warm ones take more of the work, and slower ones less. */
+    /** A cold upstream gets more than its capacity share when the warm ones respond more slowly. */
     @Test
-    void coldUpstreamsTakeMoreWhereTheyAnswerQuickerThanWarmOnes() {
-        long quick = coldTurns(20 * MS, 200 * MS);
-        long even = coldTurns(60 * MS, 60 * MS);
-        long slow = coldTurns(200 * MS, 20 * MS);
-        assertTrue(quick > even && even > slow, "quick " + quick + ", even " + even + ", slow " + slow);
+    void coldUpstreamGetsMoreTheFasterItIsThanWarmOnes() {
+        long faster = attemptsToColdUpstream(20 * MS, 200 * MS);
+        long equal = attemptsToColdUpstream(60 * MS, 60 * MS);
+        long slower = attemptsToColdUpstream(200 * MS, 20 * MS);
+        assertTrue(faster > equal && equal > slower,
+                "faster " + faster + ", equal " + equal + ", slower " + slower);
     }
 
-    /** What a cold upstream gets in 6 s, by the times in which it and the warm ones answer. */
-    private static long coldTurns(long cold, long warm) {
+    /** Attempts to a cold upstream within 6 s when it and the warm ones respond after the given latencies. */
+    private static long attemptsToColdUpstream(long coldLatency, long warmLatency) {
         RecordingHost host = host(ONCE).withUpstreams(4);
         host.serveSequentially(0, 400, 0, 60 * MS);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(upstream(9, UpstreamState.READY, host.now)));
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         long end = host.now + 6_000 * MS;
         for (int id = 1_000; host.now < end; id++) {
             host.request(id, 0);
-            RecordingHost.Attempt sent = host.lastAttempt();
-            long took = sent.upstream() == 9 ? cold : warm;
-            host.advance(took);
-            host.endAttempt(sent, Outcome.OK);
-            host.advance(220 * MS - took);
+            RecordingHost.Attempt attempt = host.lastAttempt();
+            long latency = attempt.upstream() == 9 ? coldLatency : warmLatency;
+            host.advance(latency);
+            host.endAttempt(attempt, Outcome.OK);
+            host.advance(220 * MS - latency);
         }
-        return host.attemptsTo(9, before);
+        return host.attemptsTo(9, attemptsBefore);
     }
 
+    /** If each of many sidecars began with a request to the cold upstream, it would get them all at once. */
     @Test
-    void firstRequestsOfManySidecarsDoNotPushAColdUpstreamOver() {
+    void firstRequestsOfManySidecarsDoNotOverloadAColdUpstream() {
         int cold = 0;
         int warm = 0;
         for (int seed = 0; seed < 100; seed++) {
@@ -373,17 +379,19 @@
             host.serveSequentially(0, 20, 0, 500 * MS);
             host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                     List.of(upstream(9, UpstreamState.READY, host.now)));
-            int before = host.attempts.size();
+            int attemptsBefore = host.attempts.size();
             host.serveSequentially(100, 105, 0, 300 * MS);
-            cold += (int) host.attemptsTo(9, before);
-            warm += 5 - (int) host.attemptsTo(9, before);
+            cold += (int) host.attemptsTo(9, attemptsBefore);
+            warm += 5 - (int) host.attemptsTo(9, attemptsBefore);
         }
-        // A warm one gets about 120; the cold share of 0.3 grows to 0.4 in these 1.5 s.
-        assertTrue(cold > 5 && cold < 0.5 * warm / 4, "cold got " + cold + ", warm ones " + warm);
+        // A warm upstream gets about 120; the share grows from 0.3 to 0.4 in these 1.5 s.
+        assertTrue(cold > 5 && cold < 0.5 * warm / 4,
+                "attempts to the cold upstream: " + cold + ", to the warm ones: " + warm);
     }
 
+    /** Before its first response a sidecar knows of no load of a warm upstream to take a share of. */
     @Test
-    void aSidecarThatKnowsNothingYetLeavesColdUpstreamsAlone() {
+    void sidecarSendsNothingToColdUpstreamsBeforeItsFirstResponse() {
         for (int seed = 0; seed < 20; seed++) {
             RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(2);
             host.rules.listUpdated(host.now, ListUpdateType.DELTA,
