--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -401,56 +401,60 @@
         }
     }
 
-    // ---------------------------------------------------------------- health
+    // ---------------------------------------------------------------- outlier detection and overload
 
     @Test
-    void silentUpstreamLosesItsTurns() {
+    void unresponsiveUpstreamGetsFewAttempts() {
         RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
         host.serveSequentially(0, 40, 0, 20 * MS);
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         for (int i = 100; i < 160; i++) {
             host.request(i, 0);
-            RecordingHost.Attempt sent = host.lastAttempt();
+            RecordingHost.Attempt attempt = host.lastAttempt();
             host.advance(20 * MS);
-            if (sent.upstream() != 2) {
-                host.endAttempt(sent, Outcome.OK);
+            if (attempt.upstream() != 2) {
+                host.endAttempt(attempt, Outcome.OK);
             }
         }
-        long lost = host.attemptsTo(2, before);
-        assertTrue(lost <= 4, "silent upstream got " + lost + " of 60");
+        long attempts = host.attemptsTo(2, attemptsBefore);
+        assertTrue(attempts <= 4, "unresponsive upstream got " + attempts + " of 60 attempts");
     }
 
+    /** Fast errors keep the in-flight count low, so the upstream would be chosen as the less busy one. */
     @Test
-    void fastErrorsDoNotWinTurns() {
+    void upstreamThatFailsFastGetsFewAttempts() {
         RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
         host.serveSequentially(0, 40, 0, 20 * MS);
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         for (int i = 100; i < 200; i++) {
             host.request(i, 0);
-            RecordingHost.Attempt sent = host.lastAttempt();
-            host.advance(sent.upstream() == 2 ? MS : 20 * MS);
-            host.endAttempt(sent, sent.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
+            RecordingHost.Attempt attempt = host.lastAttempt();
+            host.advance(attempt.upstream() == 2 ? MS : 20 * MS);
+            host.endAttempt(attempt, attempt.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
         }
-        long lost = host.attemptsTo(2, before);
-        assertTrue(lost <= 8, "failing upstream got " + lost + " of 100, a third of an even turn");
+        long attempts = host.attemptsTo(2, attemptsBefore);
+        assertTrue(attempts <= 8,
+                "failing upstream got " + attempts + " of 100 attempts; a third of an even share is 8");
     }
 
     @Test
-    void commonSlownessDoesNotEmptyThePattern() {
+    void noUpstreamIsEjectedWhenAllAreEquallySlow() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serveSequentially(0, 200, 0, 20 * MS);
         host.serveSequentially(1_000, 1_100, 0, 80 * MS);
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.serveSequentially(2_000, 2_040, 0, 80 * MS);
-        Map<Long, Integer> turns = new HashMap<>();
-        host.attempts.subList(before, before + 40).forEach(s -> turns.merge(s.upstream(), 1, Integer::sum));
-        turns.values().forEach(count -> assertEquals(10, count));
-        assertTrue(host.finalResponses.isEmpty(), "nothing refused: " + host.finalResponses);
+        Map<Long, Integer> counts = new HashMap<>();
+        host.attempts.subList(attemptsBefore, attemptsBefore + 40)
+                .forEach(a -> counts.merge(a.upstream(), 1, Integer::sum));
+        counts.values().forEach(count -> assertEquals(10, count));
+        assertTrue(host.finalResponses.isEmpty(), "no request is refused: " + host.finalResponses);
     }
 
+    /** With most upstreams ejected, all requests would go to the few that are left and overload them. */
     @Test
-    void troubleOfMostDoesNotPressAllWorkOnTheRest() {
-        for (int bad = 1; bad <= 3; bad++) {
+    void ejectionsAreIgnoredWhenMostUpstreamsFail() {
+        for (int failing = 1; failing <= 3; failing++) {
             RecordingHost host = new RecordingHost(RecordingHost.singleSidecarSettings(ONCE), 7)
                     .withUpstreams(4);
             host.serveSequentially(0, 40, 0, 20 * MS);
@@ -458,44 +462,46 @@
                 host.request(i, 0);
                 host.advance(MS);
                 host.endAttempt(host.lastAttempt(),
-                        host.lastAttempt().upstream() < bad ? Outcome.ERROR : Outcome.OK);
+                        host.lastAttempt().upstream() < failing ? Outcome.ERROR : Outcome.OK);
             }
-            int before = host.attempts.size();
+            int attemptsBefore = host.attempts.size();
             host.burst(200, 260, 0);
-            long suspects = 0;
-            for (int id = 0; id < bad; id++) {
-                suspects += host.attemptsTo(id, before);
+            long attempts = 0;
+            for (int id = 0; id < failing; id++) {
+                attempts += host.attemptsTo(id, attemptsBefore);
             }
-            // Up to half, each gets its trial at most.
-            assertTrue(bad <= 2 ? suspects <= bad : suspects > bad, bad + " bad ones got " + suspects);
-            assertTrue(host.attemptsTo(3, before) > 1, "the sound one has its own work");
+            // While no more than half of the upstreams fail, each of them gets at most one trial attempt.
+            assertTrue(failing <= 2 ? attempts <= failing : attempts > failing,
+                    failing + " failing upstreams, attempts to them: " + attempts);
+            assertTrue(host.attemptsTo(3, attemptsBefore) > 1, "the healthy upstream gets its share");
         }
     }
 
     @Test
-    void allUnreachableIsStillTried() {
+    void requestIsSentEvenWhenAllUpstreamsAreUnreachable() {
         RecordingHost host = host(REPEATABLE).withUpstreams(2);
         for (int i = 0; i < 4; i++) {
             host.request(i, 0);
             host.endAttempt(host.lastAttempt(), Outcome.CONNECT_FAILED);
         }
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.request(10, 0);
-        assertTrue(host.attempts.size() > before, "with every gate shut the pattern decides alone");
+        assertTrue(host.attempts.size() > attemptsBefore,
+                "with all upstreams ejected, ejections are ignored");
     }
 
     @Test
-    void sheddingEndsSoonAfterTheJam() {
+    void sheddingEndsSoonAfterAnOverload() {
         RecordingHost host = host(REPEATABLE).withUpstreams(20);
         host.serveSequentially(0, 40, 0, 20 * MS);
         host.burst(100, 140, 0);
         host.advance(1_000 * MS);
         host.attempts.stream().filter(s -> s.request() >= 100).toList()
                 .forEach(s -> host.endAttempt(s, Outcome.CANCELLED));
-        int jam = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         for (int i = 200; i < 300; i++) {
             if (i == 280) {
-                jam = host.attempts.size();
+                attemptsBefore = host.attempts.size();
             }
             host.request(i, 0);
             host.advance(20 * MS);
@@ -504,82 +510,85 @@
             }
             host.advance(30 * MS);
         }
-        assertTrue(host.attempts.size() - jam >= 19, "8 aims after the jam " + (host.attempts.size() - jam)
-                + " of 20 are sent");
+        assertTrue(host.attempts.size() - attemptsBefore >= 19, "8 latency targets after the overload, "
+                + (host.attempts.size() - attemptsBefore) + " of 20 requests are sent");
     }
 
-    /** Who has not been answered by its aim is late; that is known then, and not at its deadline. */
+    /** If attempts counted only when they end, an overload would be noticed as late as at their deadline. */
     @Test
-    void lateAttemptsCountOnceTheirAimHasPassed() {
+    void unfinishedAttemptsCountAsLateOnceTheLatencyTargetHasPassed() {
         RecordingHost host = host(ONCE).withUpstreams(40);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0);
             host.advance(3 * MS);
         }
         host.advance(500 * MS);
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.burst(100, 140, 0);
-        assertTrue(host.attempts.size() - before < 20,
-                "sent " + (host.attempts.size() - before) + " into a jam");
+        assertTrue(host.attempts.size() - attemptsBefore < 20,
+                "sent " + (host.attempts.size() - attemptsBefore) + " of 40 requests into an overload");
     }
 
-    /** A sidecar that sheds all would not see its upstreams recover: in any jam a few requests go on. */
+    /** A sidecar that shed every request would never see its upstreams recover. */
     @Test
-    void someRequestsAreSentInAnyJam() {
+    void someRequestsAreSentDuringALastingOverload() {
         RecordingHost host = host(ONCE).withUpstreams(400);
         for (int i = 0; i < 400; i++) {
             host.request(i, 0);
             host.advance(5 * MS);
         }
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         for (int i = 1_000; i < 1_400; i++) {
             host.request(i, 0);
             host.advance(5 * MS);
         }
-        int sent = host.attempts.size() - before;
-        assertTrue(sent >= 20 && sent <= 120, "of 400 in a lasting jam " + sent);
+        int sent = host.attempts.size() - attemptsBefore;
+        assertTrue(sent >= 20 && sent <= 120, "requests of 400 sent during a lasting overload: " + sent);
     }
 
     @Test
-    void nothingIsKeptOfUpstreamsThatHaveLeft() {
+    void removedUpstreamIsDroppedWhenItsLastAttemptEnds() {
         RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
-        RecordingHost.Attempt sent = host.lastAttempt();
+        RecordingHost.Attempt attempt = host.lastAttempt();
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of());
         assertTrue(host.rules.describeState(host.now).startsWith("0 ready of 1 known"),
                 host.rules.describeState(host.now));
-        host.endAttempt(sent, Outcome.OK);
+        host.endAttempt(attempt, Outcome.OK);
         assertTrue(host.rules.describeState(host.now).startsWith("0 ready of 0 known"),
                 host.rules.describeState(host.now));
     }
 
     @Test
-    void turnsReachEachOfAThousandAndMoreUpstreams() {
+    void roundRobinReachesEachOf1024Upstreams() {
         RecordingHost host = host(REPEATABLE).withUpstreams(1_024);
         assertEquals(1_024, new HashSet<>(pickOrder(host, 1_024, 0)).size());
     }
 
-    /** Where no limit per upstream binds, all that come together after a start are not sent together. */
+    /**
+     * With many upstreams no concurrency limit of a single upstream is reached. Without a window over all of
+     * them, every request that arrives right after a start would be sent at once.
+     */
     @Test
-    void attemptsThatAreOutAreBoundedUntilAnswersCome() {
+    void concurrencyWindowStartsSmallAndGrowsWithTimelyResponses() {
         RecordingHost host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7).withUpstreams(100);
         host.burst(0, 100, 0);
-        assertTrue(host.attempts.size() <= 8, "at once " + host.attempts.size());
+        assertTrue(host.attempts.size() <= 8, "attempts sent right after a start: " + host.attempts.size());
         host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7).withUpstreams(100);
         host.serveGrowingBursts(1_000, 6, 0, 20 * MS);
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.burst(5_000, 5_080, 0);
-        assertTrue(host.attempts.size() - before >= 64,
-                "once all was in time " + (host.attempts.size() - before));
+        assertTrue(host.attempts.size() - attemptsBefore >= 64,
+                "attempts sent after timely responses: " + (host.attempts.size() - attemptsBefore));
     }
 
     @Test
-    void silenceBringsNoSecondCopy() {
+    void noSecondAttemptIsSentWhileTheFirstIsInFlight() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serveSequentially(0, 80, 0, 20 * MS);
         host.request(100, 0);
         host.advance(300 * MS);
-        assertEquals(1, host.attemptsOf(100).size(), "one attempt at a time");
+        assertEquals(1, host.attemptsOf(100).size(), "attempts 300 ms after the first was sent");
     }
 
     // ---------------------------------------------------------------- warnings
