--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -591,20 +591,21 @@
         assertEquals(1, host.attemptsOf(100).size(), "attempts 300 ms after the first was sent");
     }
 
-    // ---------------------------------------------------------------- warnings
+    // ---------------------------------------------------------------- peer warnings
 
-    private static RecordingHost peer(int seed) {
+    /** One of 100 sidecars that may send each other warnings, with 20 upstreams. */
+    private static RecordingHost hostWithPeers(int seed) {
         return new RecordingHost(RecordingHost.peerMessageSettings(ONCE), seed).withUpstreams(20);
     }
 
-    /** Has a sidecar that sends to upstream 3 alone find it silent; what it tells of that. */
-    private static List<byte[]> warnings(int attempts) {
+    /** The peer messages of a sidecar whose only upstream, number 3, does not respond to so many requests. */
+    private static List<byte[]> warningsAboutUnresponsiveUpstream(int requests) {
         RecordingHost host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7);
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(upstream(1), upstream(2)));
         host.serveSequentially(0, 400, 0, 20 * MS);
-        assertTrue(host.peerMessages.isEmpty(), "nothing to tell while all answer");
+        assertTrue(host.peerMessages.isEmpty(), "no warning while all upstreams respond");
         host.rules.listUpdated(host.now, ListUpdateType.FULL, List.of(upstream(3)));
-        for (int i = 0; i < attempts; i++) {
+        for (int i = 0; i < requests; i++) {
             host.request(1_000 + i, 0);
             host.advance(2_000 * MS);
         }
@@ -612,150 +613,158 @@
     }
 
     @Test
-    void whatOneSidecarFindsSilentTheOthersPassOver() {
-        List<byte[]> told = warnings(8);
-        assertFalse(told.isEmpty());
-        RecordingHost host = peer(7);
+    void peerWarningsEjectAnUpstreamUntilTheyDecay() {
+        List<byte[]> messages = warningsAboutUnresponsiveUpstream(8);
+        assertFalse(messages.isEmpty());
+        RecordingHost host = hostWithPeers(7);
         host.serveSequentially(0, 40, 0, 20 * MS);
         for (int from = 1; from <= 9; from++) {
-            host.rules.peerMessageReceived(host.now, from, told.get(0));
+            host.rules.peerMessageReceived(host.now, from, messages.get(0));
         }
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.serveSequentially(100, 140, 0, 5 * MS);
-        assertEquals(0, host.attemptsTo(3, before));
+        assertEquals(0, host.attemptsTo(3, attemptsBefore));
         host.advance(10_000 * MS);
-        before = host.attempts.size();
+        attemptsBefore = host.attempts.size();
         host.serveSequentially(200, 220, 0, 5 * MS);
-        assertEquals(1, host.attemptsTo(3, before), "warnings fade");
+        assertEquals(1, host.attemptsTo(3, attemptsBefore), "readmitted after the warnings have decayed");
     }
 
     @Test
-    void warningsOfAllUpstreamsShutNone() {
-        RecordingHost host = peer(7);
+    void warningsAboutAllUpstreamsEjectNone() {
+        RecordingHost host = hostWithPeers(7);
         host.serveSequentially(0, 40, 0, 20 * MS);
         for (int id = 0; id < 20; id++) {
             for (int from = 1; from <= 9; from++) {
                 host.rules.peerMessageReceived(host.now, from, new byte[] {0, 0, 0, (byte) id});
             }
         }
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.serveSequentially(100, 120, 0, 5 * MS);
         for (int id = 0; id < 20; id++) {
-            assertEquals(1, host.attemptsTo(id, before), "upstream " + id);
+            assertEquals(1, host.attemptsTo(id, attemptsBefore), "upstream " + id);
         }
     }
 
     @Test
-    void messagesThatMakeNoSenseArePassedOver() {
-        RecordingHost host = peer(7);
-        for (byte[] odd : new byte[][] {{}, {1}, {0, 0, 0, 99}, {0, 0, 0, 3, 7}, new byte[256]}) {
-            host.rules.peerMessageReceived(host.now, 50_000, odd);
+    void unusablePeerMessagesAreIgnored() {
+        RecordingHost host = hostWithPeers(7);
+        for (byte[] message : new byte[][] {{}, {1}, {0, 0, 0, 99}, {0, 0, 0, 3, 7}, new byte[256]}) {
+            host.rules.peerMessageReceived(host.now, 50_000, message);
         }
         host.serveSequentially(0, 20, 0, 5 * MS);
         assertEquals(20, host.attempts.size());
     }
 
     @Test
-    void warningsKeepToTheirPartOfWhatMessagesCost() {
-        RecordingHost host = peer(7);
+    void peerWarningsStayWithinTheirCostBudget() {
+        RecordingHost host = hostWithPeers(7);
         for (int i = 0; i < 500; i++) {
-            int before = host.attempts.size();
+            int attemptsBefore = host.attempts.size();
             host.request(i, 0);
             host.advance(1_000 * MS);
-            List.copyOf(host.attempts.subList(before, host.attempts.size()))
-                    .forEach(sent -> host.endAttempt(sent, Outcome.CANCELLED));
+            List.copyOf(host.attempts.subList(attemptsBefore, host.attempts.size()))
+                    .forEach(attempt -> host.endAttempt(attempt, Outcome.CANCELLED));
         }
         int bytes = host.peerMessages.stream().mapToInt(message -> message.length).sum();
-        // 99 receivers at 0.04 for 256 bytes a request: one per cent of all worth is 0.65 bytes a request.
+        // A 256-byte message per request to each of 99 sidecars costs 99 * 0.04 of all value, so one per cent
+        // of all value pays for 0.65 bytes per request.
         assertTrue(bytes > 0 && bytes <= 0.65 * host.attempts.size(), bytes + " for " + host.attempts.size());
     }
 
-    /** Where a whole turn takes long, a shut gate is not tried at each of its turns. */
+    /** Where a cycle takes long, a trial attempt in each would be as much load as without an ejection. */
     @Test
-    void aSilentUpstreamIsTriedLessOftenThanItsTurns() {
+    void ejectedUpstreamDoesNotGetATrialAttemptInEveryCycle() {
         RecordingHost host = host(ONCE).withUpstreams(20);
         host.serveSequentially(0, 100, 0, 20 * MS);
         host.advance(20_000 * MS);
-        int before = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         for (int i = 1_000; i < 1_100; i++) {
             host.request(i, 0);
-            RecordingHost.Attempt sent = host.lastAttempt();
-            boolean silent = sent.upstream() == 3;
-            host.advance(silent ? 1_000 * MS : 20 * MS);
-            host.endAttempt(sent, silent ? Outcome.CANCELLED : Outcome.OK);
+            RecordingHost.Attempt attempt = host.lastAttempt();
+            boolean unresponsive = attempt.upstream() == 3;
+            host.advance(unresponsive ? 1_000 * MS : 20 * MS);
+            host.endAttempt(attempt, unresponsive ? Outcome.CANCELLED : Outcome.OK);
             host.advance(480 * MS);
         }
-        long tries = host.attemptsTo(3, before);
-        assertTrue(tries >= 1 && tries <= 3, "tried " + tries + " times in 5 turns");
+        long attempts = host.attemptsTo(3, attemptsBefore);
+        assertTrue(attempts >= 1 && attempts <= 3, "got " + attempts + " attempts in 5 cycles");
     }
 
-    // ---------------------------------------------------------------- a look before a send
+    // ---------------------------------------------------------------- load probes
 
-    private static RecordingHost lookingHost(int replicas) {
-        return new RecordingHost(RecordingHost.loadProbeSettings(replicas, REPEATABLE), 7).withUpstreams(10);
+    /** One of so many sidecars, with 10 upstreams and cheap load probes. */
+    private static RecordingHost probingHost(int sidecarCount) {
+        return new RecordingHost(RecordingHost.loadProbeSettings(sidecarCount, REPEATABLE), 7)
+                .withUpstreams(10);
     }
 
-    /** Answers every probe so far: so many in hand at each upstream, the last of them at {@code idle}. */
-    private static void tell(RecordingHost host, float inHand, int idle) {
-        List<Long> asked = host.log.stream().filter(line -> line.startsWith("probe "))
+    /**
+     * Responds to all probes in the log: each upstream reports {@code inFlight} requests in flight, except
+     * for the one with index {@code idle} among the probes, which reports none.
+     */
+    private static void respondToProbes(RecordingHost host, float inFlight, int idle) {
+        List<Long> probed = host.log.stream().filter(line -> line.startsWith("probe "))
                 .map(line -> Long.parseLong(line.substring(6))).toList();
         host.log.clear();
         host.now += MS;
-        for (int i = 0; i < asked.size(); i++) {
-            host.rules.probeResult(host.now, asked.get(i), Outcome.OK, MS,
-                    new float[] {0, i == idle ? 0 : inHand});
+        for (int i = 0; i < probed.size(); i++) {
+            host.rules.probeResult(host.now, probed.get(i), Outcome.OK, MS,
+                    new float[] {0, i == idle ? 0 : inFlight});
         }
     }
 
     @Test
-    void busyEntriesArePassedOverWhereAProbeIsAllButFree() {
-        RecordingHost host = lookingHost(100);
+    void leastBusyOfTheProbedUpstreamsIsChosen() {
+        RecordingHost host = probingHost(100);
         host.request(1, 0);
-        assertTrue(host.attempts.isEmpty(), "it looks first");
-        List<String> asked = host.log.stream().filter(line -> line.startsWith("probe ")).toList();
-        assertEquals(5, asked.size());
-        tell(host, 3, 2);
-        assertEquals(asked.get(2), "probe " + host.lastAttempt().upstream());
+        assertTrue(host.attempts.isEmpty(), "load probes come before the attempt");
+        List<String> probes = host.log.stream().filter(line -> line.startsWith("probe ")).toList();
+        assertEquals(5, probes.size());
+        respondToProbes(host, 3, 2);
+        assertEquals(probes.get(2), "probe " + host.lastAttempt().upstream());
     }
 
     @Test
-    void aLookThatNobodyAnswersHoldsNothingUp() {
-        RecordingHost host = lookingHost(100);
+    void requestIsSentWhenNoProbeGetsAResponse() {
+        RecordingHost host = probingHost(100);
         host.request(1, 0);
         host.advance(30 * MS);
         assertEquals(1, host.attempts.size());
     }
 
     @Test
-    void whereAllAskedAreFullTheRequestIsRefusedAtOnce() {
-        RecordingHost host = lookingHost(100);
+    void requestIsRefusedAtOnceWhenAllProbedUpstreamsAreBusy() {
+        RecordingHost host = probingHost(100);
         for (int i = 0; i < 40; i++) {
             host.request(i, 0);
-            tell(host, 0, 0);
+            respondToProbes(host, 0, 0);
             host.advance(100 * MS);
             host.endAttempt(host.lastAttempt(), Outcome.OK);
         }
         host.request(100, 0);
-        tell(host, 9, -1);
+        respondToProbes(host, 9, -1);
         assertEquals(List.of("refuse 100"), host.finalResponses,
-                "ten turns of 100 ms each against an aim of 500");
+                "nine requests in flight and this one take 100 ms each; the target is 500 ms");
     }
 
+    /** An upstream may keep working on a timed-out attempt, and only load probes would show that. */
     @Test
-    void anAttemptIsGivenUpAtItsAimOnlyWhereLooksShowWhatUpstreamsHold() {
-        RecordingHost host = lookingHost(100);
+    void attemptsTimeOutAtTheLatencyTargetOnlyWithLoadProbes() {
+        RecordingHost host = probingHost(100);
         host.request(1, 0);
-        tell(host, 0, 0);
+        respondToProbes(host, 0, 0);
         assertEquals(List.of("send 1 " + host.lastAttempt().upstream() + " " + 499 * MS),
                 host.log.stream().filter(line -> line.startsWith("send")).toList());
-        host = lookingHost(3);
+        host = probingHost(3);
         host.request(1, 0);
         assertTrue(host.log.contains("send 1 " + host.lastAttempt().upstream() + " 0"));
     }
 
+    /** With fewer sidecars than upstreams, the own in-flight counts show enough of an upstream's load. */
     @Test
-    void fewSidecarsDoNotLook() {
-        RecordingHost host = lookingHost(3);
+    void noLoadProbesWithFewSidecars() {
+        RecordingHost host = probingHost(3);
         host.request(1, 0);
         assertEquals(1, host.attempts.size());
         assertFalse(host.log.stream().anyMatch(line -> line.startsWith("probe ")));
