--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -770,84 +770,88 @@
         assertFalse(host.log.stream().anyMatch(line -> line.startsWith("probe ")));
     }
 
-    // ---------------------------------------------------------------- admission
+    // ---------------------------------------------------------------- admission control
 
     @Test
-    void markedRetriesAreShedMoreReadilyThanFirstTries() {
+    void markedClientRetriesAreShedMoreOftenThanNewRequests() {
         int[] sent = new int[2];
         for (int seed = 0; seed < 100; seed++) {
             RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(40);
             host.serveGrowingBursts(1_000, 3, 0, 20 * MS);
             for (int i = 0; i < 20; i++) {
                 host.request(i, 0);
-                RecordingHost.Attempt last = host.lastAttempt();
+                RecordingHost.Attempt attempt = host.lastAttempt();
                 host.advance(5 * MS);
-                if (i % 2 == 0 && last.request() == i) {
-                    host.endAttempt(last, Outcome.OK);
+                if (i % 2 == 0 && attempt.request() == i) {
+                    host.endAttempt(attempt, Outcome.OK);
                 }
             }
             host.advance(500 * MS);
-            int before = host.attempts.size();
+            int attemptsBefore = host.attempts.size();
             host.rules.requestArrived(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, 0,
                     seed % 2 == 1, false));
-            sent[seed % 2] += host.attempts.size() - before;
+            sent[seed % 2] += host.attempts.size() - attemptsBefore;
         }
-        assertTrue(sent[0] > 10 && sent[1] < sent[0] / 2, "first tries " + sent[0] + ", retries " + sent[1]);
+        assertTrue(sent[0] > 10 && sent[1] < sent[0] / 2,
+                "sent: new requests " + sent[0] + ", client retries " + sent[1]);
     }
 
     @Test
-    void lateAnswersBringSheddingAndAFewInTimeEndIt() {
+    void lateResponsesStartSheddingAndTimelyOnesEndIt() {
         RecordingHost host = host(REPEATABLE).withUpstreams(40);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0);
             host.advance(100 * MS);
         }
         host.advance(1_000 * MS);
-        host.attempts.forEach(sent -> host.endAttempt(sent, Outcome.TIMEOUT));
-        int before = host.attempts.size();
+        host.attempts.forEach(attempt -> host.endAttempt(attempt, Outcome.TIMEOUT));
+        int attemptsBefore = host.attempts.size();
         host.burst(100, 140, 0);
-        assertTrue(host.attempts.size() - before < 16,
-                "nothing came in time: " + (host.attempts.size() - before));
+        assertTrue(host.attempts.size() - attemptsBefore < 16,
+                "requests sent after no response came in time: " + (host.attempts.size() - attemptsBefore));
         host.advance(30_000 * MS);
         host.serveSequentially(200, 300, 0, 20 * MS);
-        assertEquals(100, host.attempts.stream().filter(sent -> sent.request() >= 200).count());
+        assertEquals(100, host.attempts.stream().filter(attempt -> attempt.request() >= 200).count());
     }
 
     @Test
-    void heldWorkIsSentNewestFirst() {
+    void queuedRequestsAreSentNewestFirst() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
-        int out = host.attempts.size();
-        assertTrue(out < 6, "some are held");
+        int attemptsBefore = host.attempts.size();
+        assertTrue(attemptsBefore < 6, "some requests are queued");
         host.advance(10 * MS);
         host.endAttempt(host.attempts.get(0), Outcome.OK);
-        assertEquals(5, host.attempts.get(out).request());
+        assertEquals(5, host.attempts.get(attemptsBefore).request());
     }
 
+    /** With 400 ms left of a deadline of 1 s, the client has already spent 600 ms on earlier requests. */
     @Test
-    void hopelessLaterTriesAreAnsweredAtOnceUnderPressure() {
+    void clientRetriesPastTheLatencyTargetAreRefusedAtOnce() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
-        int sent = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.request(50, 0, 400 * MS);
-        assertEquals(List.of("refuse 50"), host.finalResponses, "600 ms of an aim of 500 are gone");
-        assertEquals(sent, host.attempts.size());
+        assertEquals(List.of("refuse 50"), host.finalResponses,
+                "600 ms have passed, more than the latency target of 500 ms");
+        assertEquals(attemptsBefore, host.attempts.size());
     }
 
+    /** The most common time left marks new requests, even where client retries have more. */
     @Test
-    void firstTriesWithLessTimeThanLastOnesStayFirst() {
+    void requestsWithTheUsualTimeLeftAreNotTakenForClientRetries() {
         RecordingHost host = host(ONCE).withUpstreams(1);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
         }
-        int answered = host.finalResponses.size();
+        int responsesBefore = host.finalResponses.size();
         host.request(50, 0, 600 * MS);
-        assertEquals(answered, host.finalResponses.size(),
-                "600 ms is what first tries have: held, not answered");
+        assertEquals(responsesBefore, host.finalResponses.size(),
+                "600 ms left is usual for new requests: it is queued, not refused");
     }
 
     @Test
-    void tenantThatHadLeastOfItsQuotaGoesFirst() {
+    void queuedRequestOfTheTenantThatUsedLeastOfItsQuotaIsSentFirst() {
         Balancer.Settings base = settings(ONCE);
         RecordingHost host = new RecordingHost(new Balancer.Settings(0, 1, 0, 5 * MS, DiscoveryMode.AUTOMATIC,
                 Balancer.WeightMode.SILENT, base.classes(), List.of(new Balancer.Tenant(0.5, 10),
@@ -863,30 +867,32 @@
                 new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, 0, false, false));
         host.rules.requestArrived(host.now,
                 new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, 0, false, false));
-        int out = host.attempts.size();
+        int attemptsBefore = host.attempts.size();
         host.advance(10 * MS);
         host.endAttempt(host.attempts.get(0), Outcome.OK);
-        assertEquals(10, host.attempts.get(out).request(), "not the newest, but the tenant that had nothing");
+        assertEquals(10, host.attempts.get(attemptsBefore).request(),
+                "not the newest request, but the one of the tenant without an attempt");
     }
 
+    /** Trial attempts also use requests that must not run twice, else the upstream would stay ejected. */
     @Test
-    void aServiceOfOnceAloneStillTriesASuspectAgain() {
+    void ejectedUpstreamIsReadmittedWhenAllRequestsAreOnce() {
         RecordingHost host = host(ONCE).withUpstreams(2);
         host.serveSequentially(0, 40, 0, 20 * MS);
         for (int i = 100; i < 1_200; i++) {
             host.request(i, 0);
-            RecordingHost.Attempt sent = host.lastAttempt();
+            RecordingHost.Attempt attempt = host.lastAttempt();
             host.advance(20 * MS);
-            host.endAttempt(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
+            host.endAttempt(attempt, attempt.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
         }
         assertTrue(host.attempts.subList(host.attempts.size() - 20, host.attempts.size()).stream()
-                .anyMatch(s -> s.upstream() == 1), "it came back");
+                .anyMatch(a -> a.upstream() == 1), "the upstream gets attempts again");
     }
 
-    // ---------------------------------------------------------------- settings and size
+    // ---------------------------------------------------------------- settings, events, source size
 
     @Test
-    void senselessSettingsAreNamed() {
+    void invalidSettingsAreRejectedAndNamed() {
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
                 () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
         assertTrue(e.getMessage().contains("cold share"));
@@ -894,19 +900,19 @@
     }
 
     @Test
-    void eventsAboutNothingHeldArePassedOver() {
+    void eventsAboutUnknownRequestsAreIgnored() {
         RecordingHost host = host(REPEATABLE).withUpstreams(2);
-        int before = host.log.size();
+        int actionsBefore = host.log.size();
         host.rules.clientDisconnected(host.now, 99);
         host.rules.attemptEnded(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
         host.rules.firstByte(host.now, 99, 0, 1, 0);
         host.rules.timerFired(host.now, 12345);
         host.rules.peerMessageReceived(host.now, 1, new byte[] {1});
-        assertEquals(before, host.log.size());
+        assertEquals(actionsBefore, host.log.size());
     }
 
     @Test
-    void moduleStaysWithinItsSize() throws IOException {
+    void sourceOfRulesStaysWithinItsSizeLimits() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("src/main/java/pondridge/Rules.java"));
         assertTrue(lines.stream().filter(line -> !line.isBlank()).count() <= 1_200);
         assertTrue(lines.stream().allMatch(line -> line.length() <= 110));
