--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -21,203 +21,216 @@
 import pondridge.Balancer.Upstream;
 import pondridge.Balancer.UpstreamState;
 
-/** Long random legal event sequences, judged by an observer with books of its own. */
+/**
+ * Sends long random sequences of valid events to the balancer and checks every action against a record of the
+ * requests that this test keeps itself. Guards against combinations of events that no scripted test covers.
+ */
 class RandomEventsTest {
-    private static final long DEADLINE = 1_000 * MS;
-    private static final long SLACK = 20 * MS;
+    private static final long DEADLINE_NANOS = 1_000 * MS;
+    private static final long RESPONSE_SLACK_NANOS = 20 * MS;
     private static final List<RequestClass> CLASSES = List.of(RecordingHost.REPEATABLE, RecordingHost.ONCE,
             RecordingHost.BY_KEY_CELL, RecordingHost.BY_KEY_ALL,
             RecordingHost.requestClass(Semantics.BY_KEY, KeyScope.ZONE));
 
-    private static final class Book {
-        final RequestClass kind;
+    /** What this test knows of one request. */
+    private static final class TrackedRequest {
+        final RequestClass requestClass;
         final long deadline;
-        final List<RecordingHost.Attempt> sent = new ArrayList<>();
-        final Map<Integer, Outcome> ended = new HashMap<>();
-        int answers;
-
-        Book(RequestClass kind, long deadline) {
-            this.kind = kind;
+        final List<RecordingHost.Attempt> attempts = new ArrayList<>();
+        /** Outcomes of the attempts that have ended, by the attempt's number. */
+        final Map<Integer, Outcome> outcomes = new HashMap<>();
+        /** Refusals, failures, first successful attempts and disconnects of the client; has to become 1. */
+        int timesFinished;
+
+        TrackedRequest(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
 
-        boolean mayHaveRun(int attempt) {
-            Outcome outcome = ended.get(attempt);
+        boolean mayHaveRun(int attemptNumber) {
+            Outcome outcome = outcomes.get(attemptNumber);
             return outcome == null || !outcome.provesNeverRan();
         }
     }
 
-    private final Map<Long, Book> books = new HashMap<>();
+    private final Map<Long, TrackedRequest> requests = new HashMap<>();
     private final Map<Long, UpstreamState> states = new HashMap<>();
-    private final Set<Integer> judgedSends = new HashSet<>();
-    private final List<Long> asked = new ArrayList<>();
-    private int probes;
-    private int readLog;
+    /** Indexes of the attempts of the host that have been checked. */
+    private final Set<Integer> checkedAttempts = new HashSet<>();
+    /** Upstreams with a load probe that has no result yet. */
+    private final List<Long> pendingProbes = new ArrayList<>();
+    private int probeCount;
+    /** How many entries of the host's log have been checked. */
+    private int checkedActions;
     private RecordingHost host;
 
-    /** Reads the actions since the last event and checks each against the rules. */
-    private void judge() {
-        int sendsSeen = judgedSends.size();
-        for (; readLog < host.log.size(); readLog++) {
-            String[] action = host.log.get(readLog).split(" ");
+    /** Checks each action since the last event. */
+    private void checkActions() {
+        int attemptsSeen = checkedAttempts.size();
+        for (; checkedActions < host.log.size(); checkedActions++) {
+            String[] action = host.log.get(checkedActions).split(" ");
             switch (action[0]) {
                 case "send" -> {
-                    RecordingHost.Attempt sent = host.attempts.get(sendsSeen);
-                    judgedSends.add(sendsSeen++);
-                    judgeSend(sent);
+                    RecordingHost.Attempt attempt = host.attempts.get(attemptsSeen);
+                    checkedAttempts.add(attemptsSeen++);
+                    checkAttempt(attempt);
                 }
                 case "probe" -> {
-                    asked.add(Long.parseLong(action[1]));
-                    probes++;
+                    pendingProbes.add(Long.parseLong(action[1]));
+                    probeCount++;
                 }
-                case "refuse", "fail" -> judgeAnswer(action[0], Long.parseLong(action[1]));
+                case "refuse", "fail" -> checkFinalResponse(action[0], Long.parseLong(action[1]));
                 default -> { }
             }
         }
     }
 
-    private void judgeSend(RecordingHost.Attempt sent) {
-        Book book = books.get(sent.request());
-        assertEquals(0, book.answers, "sent after its end: " + sent);
-        assertEquals(UpstreamState.READY, states.get(sent.upstream()), "drain: " + sent);
-        assertTrue(book.sent.size() < 3, "try limit: " + sent);
-        RecordingHost.Attempt doubt = null;
-        for (RecordingHost.Attempt earlier : book.sent) {
-            if (doubt == null && book.mayHaveRun(earlier.number())) {
-                doubt = earlier;
+    private void checkAttempt(RecordingHost.Attempt attempt) {
+        TrackedRequest request = requests.get(attempt.request());
+        assertEquals(0, request.timesFinished, "sent after the request finished: " + attempt);
+        assertEquals(UpstreamState.READY, states.get(attempt.upstream()), "upstream not ready: " + attempt);
+        assertTrue(request.attempts.size() < 3, "too many attempts: " + attempt);
+        RecordingHost.Attempt uncertain = null;
+        for (RecordingHost.Attempt earlier : request.attempts) {
+            if (uncertain == null && request.mayHaveRun(earlier.number())) {
+                uncertain = earlier;
             }
         }
-        if (doubt != null) {
-            assertTrue(book.kind.semantics() != Semantics.ONCE, "once sent twice: " + sent);
-            if (book.kind.semantics() == Semantics.BY_KEY) {
-                assertTrue(sent.sentAt() < doubt.sentAt() + book.kind.keyTtl(), "key forgotten: " + sent);
-                long a = doubt.upstream();
-                long b = sent.upstream();
-                switch (book.kind.scope()) {
-                    case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
-                    case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
+        if (uncertain != null) {
+            assertTrue(request.requestClass.semantics() != Semantics.ONCE, "ONCE sent twice: " + attempt);
+            if (request.requestClass.semantics() == Semantics.BY_KEY) {
+                assertTrue(attempt.sentAt() < uncertain.sentAt() + request.requestClass.keyTtl(),
+                        "sent after the key expired: " + attempt);
+                long a = uncertain.upstream();
+                long b = attempt.upstream();
+                switch (request.requestClass.scope()) {
+                    case ZONE -> assertEquals(a % 2, b % 2, "not in the zone of the key: " + attempt);
+                    case CELL -> assertEquals(a / 3, b / 3, "not in the cell of the key: " + attempt);
                     default -> { }
                 }
             }
         }
-        book.sent.add(sent);
+        request.attempts.add(attempt);
     }
 
-    private void judgeAnswer(String answer, long id) {
-        Book book = books.get(id);
-        assertEquals(1, ++book.answers, "answered twice: " + id);
-        assertTrue(host.now <= book.deadline + SLACK, "late answer: " + id);
-        boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.number()));
-        boolean harmless = !doubt || book.kind.semantics() == Semantics.REPEATABLE
-                || book.kind.semantics() == Semantics.BY_KEY && book.kind.scope() == KeyScope.ALL;
-        assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
+    private void checkFinalResponse(String action, long id) {
+        TrackedRequest request = requests.get(id);
+        assertEquals(1, ++request.timesFinished, "finished twice: " + id);
+        assertTrue(host.now <= request.deadline + RESPONSE_SLACK_NANOS, "final response too late: " + id);
+        boolean mayHaveRun = request.attempts.stream().anyMatch(a -> request.mayHaveRun(a.number()));
+        boolean retryIsSafe = !mayHaveRun || request.requestClass.semantics() == Semantics.REPEATABLE
+                || request.requestClass.semantics() == Semantics.BY_KEY
+                        && request.requestClass.scope() == KeyScope.ALL;
+        assertTrue(action.equals("fail") || retryIsSafe, "refused though it may have run: " + id);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void rulesHold(long seed) {
-        play(seed, RecordingHost.settings(CLASSES.toArray(new RequestClass[0])));
-        assertTrue(asked.isEmpty(), "no probe is allowed");
+    void actionsAreAllowedWithoutLoadProbes(long seed) {
+        runRandomEvents(seed, RecordingHost.settings(CLASSES.toArray(new RequestClass[0])));
+        assertTrue(pendingProbes.isEmpty(), "no probe is allowed");
     }
 
-    /** Probes are answered at once, late, with a failure, with a short report or never. */
+    /** Probes end at once, late, with a failure, with a report that lacks fields, or never. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18})
-    void rulesHoldWhereTheSidecarLooksBeforeASend(long seed) {
-        play(seed, RecordingHost.loadProbeSettings(500, CLASSES.toArray(new RequestClass[0])));
-        assertTrue(probes > 100, "it looked: " + probes);
+    void actionsAreAllowedWithLoadProbes(long seed) {
+        runRandomEvents(seed, RecordingHost.loadProbeSettings(500, CLASSES.toArray(new RequestClass[0])));
+        assertTrue(probeCount > 100, "number of load probes: " + probeCount);
     }
 
-    private void answerProbes(Random random) {
-        while (!asked.isEmpty() && random.nextInt(6) > 0) {
-            long upstream = asked.remove(random.nextInt(asked.size()));
+    private void endRandomProbes(Random random) {
+        while (!pendingProbes.isEmpty() && random.nextInt(6) > 0) {
+            long upstream = pendingProbes.remove(random.nextInt(pendingProbes.size()));
             if (random.nextInt(20) > 0) {
                 Outcome outcome = random.nextInt(10) > 0 ? Outcome.OK : Outcome.TIMEOUT;
                 float[] load = random.nextInt(20) == 0 ? new float[0] : new float[] {0, random.nextInt(4)};
                 host.rules.probeResult(host.now, upstream, outcome, MS, load);
-                judge();
+                checkActions();
             }
         }
     }
 
-    private void play(long seed, Balancer.Settings settings) {
+    private void runRandomEvents(long seed, Balancer.Settings settings) {
         Random random = new Random(seed);
         host = new RecordingHost(settings, seed);
         int upstreams = 1 + random.nextInt(12);
-        List<Upstream> first = new ArrayList<>();
+        List<Upstream> initialList = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
-            first.add(RecordingHost.upstream(i));
+            initialList.add(RecordingHost.upstream(i));
             states.put((long) i, UpstreamState.READY);
         }
-        host.rules.listUpdated(host.now, ListUpdateType.CACHED, first);
-        List<RecordingHost.Attempt> out = new ArrayList<>();
-        int collected = 0;
+        host.rules.listUpdated(host.now, ListUpdateType.CACHED, initialList);
+        List<RecordingHost.Attempt> inFlight = new ArrayList<>();
+        int attemptsSeen = 0;
         long nextId = 0;
         for (int step = 0; step < 6_000; step++) {
-            int what = random.nextInt(100);
-            if (what < 40) {
-                long left = random.nextInt(10) == 0 ? random.nextInt(30) * MS : DEADLINE;
-                int kind = random.nextInt(CLASSES.size());
-                books.put(nextId, new Book(CLASSES.get(kind), host.now + left));
-                host.request(nextId++, kind, left);
-            } else if (what < 70 && !out.isEmpty()) {
-                end(out.remove(random.nextInt(out.size())), random);
-            } else if (what < 72) {
-                change(random, upstreams);
-            } else if (what < 73 && nextId > 0) {
+            int event = random.nextInt(100);
+            if (event < 40) {
+                long timeLeft = random.nextInt(10) == 0 ? random.nextInt(30) * MS : DEADLINE_NANOS;
+                int classIndex = random.nextInt(CLASSES.size());
+                requests.put(nextId, new TrackedRequest(CLASSES.get(classIndex), host.now + timeLeft));
+                host.request(nextId++, classIndex, timeLeft);
+            } else if (event < 70 && !inFlight.isEmpty()) {
+                endWithRandomOutcome(inFlight.remove(random.nextInt(inFlight.size())), random);
+            } else if (event < 72) {
+                changeRandomUpstream(random, upstreams);
+            } else if (event < 73 && nextId > 0) {
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
-                if (books.get(id).answers == 0) {
-                    books.get(id).answers++;
+                if (requests.get(id).timesFinished == 0) {
+                    requests.get(id).timesFinished++;
                     host.rules.clientDisconnected(host.now, id);
                 }
             } else {
-                tick(random.nextInt(8));
+                advanceInTicks(random.nextInt(8));
             }
-            judge();
-            answerProbes(random);
-            while (collected < host.attempts.size()) {
-                out.add(host.attempts.get(collected++));
+            checkActions();
+            endRandomProbes(random);
+            while (attemptsSeen < host.attempts.size()) {
+                inFlight.add(host.attempts.get(attemptsSeen++));
             }
-            for (int i = out.size() - 1; i >= 0; i--) {
-                if (host.now >= books.get(out.get(i).request()).deadline) {
-                    RecordingHost.Attempt sent = out.remove(i);
-                    finish(sent, Outcome.TIMEOUT);
+            for (int i = inFlight.size() - 1; i >= 0; i--) {
+                if (host.now >= requests.get(inFlight.get(i).request()).deadline) {
+                    RecordingHost.Attempt attempt = inFlight.remove(i);
+                    endAttempt(attempt, Outcome.TIMEOUT);
                 }
             }
-            judge();
+            checkActions();
         }
-        tick(3_000);
-        judge();
-        books.forEach((id, book) -> assertEquals(1, book.answers, "answers of " + id));
-        assertTrue(nextId > 2_000, "the sequence was long");
+        advanceInTicks(3_000);
+        checkActions();
+        requests.forEach((id, request) ->
+                assertEquals(1, request.timesFinished, "times that the request finished: " + id));
+        assertTrue(nextId > 2_000, "enough requests in the sequence");
     }
 
-    /** A quantum at a time, as a host with a batch clock does. */
-    private void tick(int millis) {
+    /** Moves the clock in steps of a tick, as a host does whose clock moves in batches. */
+    private void advanceInTicks(int millis) {
         for (int passed = 0; passed < millis; passed += 5) {
             host.advance(5 * MS);
-            judge();
+            checkActions();
         }
     }
 
-    private void end(RecordingHost.Attempt sent, Random random) {
+    private void endWithRandomOutcome(RecordingHost.Attempt attempt, Random random) {
         int draw = random.nextInt(10);
-        finish(sent, draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
+        endAttempt(attempt,
+                draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
     }
 
-    private void finish(RecordingHost.Attempt sent, Outcome outcome) {
-        Book book = books.get(sent.request());
-        boolean already = book.answers > 0;
-        book.ended.put(sent.number(), outcome);
-        if (outcome == Outcome.OK && !already) {
-            book.answers++;
+    private void endAttempt(RecordingHost.Attempt attempt, Outcome outcome) {
+        TrackedRequest request = requests.get(attempt.request());
+        boolean alreadyFinished = request.timesFinished > 0;
+        request.outcomes.put(attempt.number(), outcome);
+        if (outcome == Outcome.OK && !alreadyFinished) {
+            request.timesFinished++;
         }
-        host.rules.attemptEnded(host.now, sent.request(), sent.number(), sent.upstream(), outcome,
-                host.now - sent.sentAt(), already || outcome == Outcome.OK, new float[0]);
-        judge();
+        host.rules.attemptEnded(host.now, attempt.request(), attempt.number(), attempt.upstream(), outcome,
+                host.now - attempt.sentAt(), alreadyFinished || outcome == Outcome.OK, new float[0]);
+        checkActions();
     }
 
-    private void change(Random random, int upstreams) {
+    private void changeRandomUpstream(Random random, int upstreams) {
         long id = random.nextInt(upstreams);
         UpstreamState state = UpstreamState.values()[random.nextInt(3)];
         long startedAt = state == UpstreamState.READY && states.get(id) == UpstreamState.GONE
@@ -225,6 +238,6 @@
         states.put(id, state);
         host.rules.listUpdated(host.now, ListUpdateType.DELTA,
                 List.of(RecordingHost.upstream(id, state, startedAt)));
-        judge();
+        checkActions();
     }
 }
