--- a/src/test/java/pondridge/KnownRed.java
+++ b/src/test/java/pondridge/KnownRed.java
@@ -10,9 +10,10 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Passes over exactly the tests that KNOWN-RED.txt names, and prints them. Each entry begins with
- * {@code Class#method}; what follows on its line and on the indented ones is for people. With
- * {@code -Dknown.red=run} the tests run all the same.
+ * Skips the tests that KNOWN-RED.txt lists as known to fail, and prints the entry of each test that it skips.
+ * An entry is a line that begins with {@code Class#method |}; the rest of the line and the indented lines
+ * below it are notes. With {@code -Dknown.red=run} no test is skipped. JUnit loads this class as an extension
+ * of all tests.
  */
 public final class KnownRed implements ExecutionCondition {
     private static final Path FILE = Path.of("KNOWN-RED.txt");
