--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -32,7 +32,7 @@
             RecordingHost.BY_KEY_CELL, RecordingHost.BY_KEY_ALL,
             RecordingHost.requestClass(Semantics.BY_KEY, KeyScope.ZONE));
 
-    /** What this test knows of one request. */
+    /** What this test records about one request. */
     private static final class TrackedRequest {
         final RequestClass requestClass;
         final long deadline;
--- a/src/test/java/pondridge/RecordingHost.java
+++ b/src/test/java/pondridge/RecordingHost.java
@@ -38,7 +38,7 @@
     /** A timer that the balancer has set and that is due at {@code at}. */
     record Timer(long at, long token) { }
 
-    /** Every action of the balancer in order: its name, then its arguments, separated by spaces. */
+    /** Every action of the balancer in order: a short name and arguments, separated by spaces. */
     final List<String> log = new ArrayList<>();
     final List<Attempt> attempts = new ArrayList<>();
     /** The balancer's refusals and failures, as "refuse" or "fail" and the id of the request. */
@@ -61,7 +61,7 @@
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
     }
 
-    /** Settings of one of three sidecars, without load probes or peer messages; the list comes by itself. */
+    /** Settings of one of three sidecars, without load probes, peer messages and subscription. */
     static Settings settings(RequestClass... classes) {
         return settings(DiscoveryMode.AUTOMATIC, classes);
     }
@@ -119,7 +119,7 @@
         return this;
     }
 
-    /** Lets a request of the given class arrive, 1 s before its deadline. */
+    /** Lets a request arrive, 1 s before its deadline. */
     void request(long id, int classIndex) {
         request(id, classIndex, 1_000 * MS);
     }
--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -28,7 +28,7 @@
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.UpstreamState;
 
-/** Checks the actions that {@link Rules} orders upon fixed sequences of events. */
+/** Checks which actions {@link Rules} orders for fixed sequences of events. */
 class RulesTest {
 
     /** A host with the default settings, a fixed seed and no upstreams yet. */
@@ -302,11 +302,11 @@
         int attemptsBefore = host.attempts.size();
         host.serveSequentially(5_000, 5_300, 0, 5 * MS);
         long cold = host.attemptsTo(9, attemptsBefore);
-        // A warm upstream gets 75: 1.5 s at 200 requests per second over 4. The share is still near 0.3.
+        // Each of 4 warm upstreams gets 75: 1.5 s at 200 requests per second. The share is still near 0.3.
         assertTrue(cold > 5 && cold < 40, "attempts to the cold upstream: " + cold);
     }
 
-    /** A sidecar younger than the ramp time has seen only part of the load that the share is taken of. */
+    /** The share is a part of a warm upstream's load, which a new sidecar has measured only briefly. */
     @Test
     void newSidecarGivesColdUpstreamsTheirShare() {
         RecordingHost host = host(REPEATABLE).withUpstreams(4);
@@ -315,7 +315,7 @@
                 List.of(upstream(9, UpstreamState.READY, host.now)));
         int attemptsBefore = host.attempts.size();
         host.serveSequentially(1_000, 1_200, 0, 10 * MS);
-        // A warm upstream gets 50: 2 s at 100 requests per second over 4. The share grows from 0.3 to 0.5.
+        // Each of 4 warm upstreams gets 50: 2 s at 100 requests per second. The share grows from 0.3 to 0.5.
         long cold = host.attemptsTo(9, attemptsBefore);
         assertTrue(cold > 10 && cold < 25, "attempts to the cold upstream: " + cold);
     }
@@ -336,7 +336,7 @@
             host.serveSequentially(1_000, 1_060, 0, 100 * MS);
             cold += (int) host.attemptsTo(99, attemptsBefore);
         }
-        // A warm upstream gets 50 in 6 s; a share that grows from 0.3 to 0.8 averages to 27.
+        // 50 sidecars send 50 attempts to a warm upstream in 6 s; a share of 0.3 to 0.8 averages to 27.
         assertTrue(cold > 20 && cold < 40, "attempts of 50 sidecars to the cold upstream: " + cold);
     }
 
@@ -389,7 +389,7 @@
                 "attempts to the cold upstream: " + cold + ", to the warm ones: " + warm);
     }
 
-    /** Before its first response a sidecar knows of no load of a warm upstream to take a share of. */
+    /** Before its first response a sidecar has no load of a warm upstream to take a share of. */
     @Test
     void sidecarSendsNothingToColdUpstreamsBeforeItsFirstResponse() {
         for (int seed = 0; seed < 20; seed++) {
@@ -496,8 +496,8 @@
         host.serveSequentially(0, 40, 0, 20 * MS);
         host.burst(100, 140, 0);
         host.advance(1_000 * MS);
-        host.attempts.stream().filter(s -> s.request() >= 100).toList()
-                .forEach(s -> host.endAttempt(s, Outcome.CANCELLED));
+        host.attempts.stream().filter(a -> a.request() >= 100).toList()
+                .forEach(a -> host.endAttempt(a, Outcome.CANCELLED));
         int attemptsBefore = host.attempts.size();
         for (int i = 200; i < 300; i++) {
             if (i == 280) {
@@ -529,7 +529,7 @@
                 "sent " + (host.attempts.size() - attemptsBefore) + " of 40 requests into an overload");
     }
 
-    /** A sidecar that shed every request would never see its upstreams recover. */
+    /** A sidecar that shed every request would get no response that shows that its upstreams recovered. */
     @Test
     void someRequestsAreSentDuringALastingOverload() {
         RecordingHost host = host(ONCE).withUpstreams(400);
@@ -543,7 +543,7 @@
             host.advance(5 * MS);
         }
         int sent = host.attempts.size() - attemptsBefore;
-        assertTrue(sent >= 20 && sent <= 120, "requests of 400 sent during a lasting overload: " + sent);
+        assertTrue(sent >= 20 && sent <= 120, "sent during a lasting overload, of 400 requests: " + sent);
     }
 
     @Test
@@ -598,7 +598,7 @@
         return new RecordingHost(RecordingHost.peerMessageSettings(ONCE), seed).withUpstreams(20);
     }
 
-    /** The peer messages of a sidecar whose only upstream, number 3, does not respond to so many requests. */
+    /** The peer messages of a sidecar whose only upstream, number 3, responds to none of the requests. */
     private static List<byte[]> warningsAboutUnresponsiveUpstream(int requests) {
         RecordingHost host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7);
         host.rules.listUpdated(host.now, ListUpdateType.CACHED, List.of(upstream(1), upstream(2)));
@@ -672,7 +672,7 @@
         assertTrue(bytes > 0 && bytes <= 0.65 * host.attempts.size(), bytes + " for " + host.attempts.size());
     }
 
-    /** Where a cycle takes long, a trial attempt in each would be as much load as without an ejection. */
+    /** Where a cycle takes long, one trial attempt per cycle is as much load as without an ejection. */
     @Test
     void ejectedUpstreamDoesNotGetATrialAttemptInEveryCycle() {
         RecordingHost host = host(ONCE).withUpstreams(20);
@@ -693,7 +693,7 @@
 
     // ---------------------------------------------------------------- load probes
 
-    /** One of so many sidecars, with 10 upstreams and cheap load probes. */
+    /** One of {@code sidecarCount} sidecars, with 10 upstreams and cheap load probes. */
     private static RecordingHost probingHost(int sidecarCount) {
         return new RecordingHost(RecordingHost.loadProbeSettings(sidecarCount, REPEATABLE), 7)
                 .withUpstreams(10);
@@ -725,6 +725,7 @@
         assertEquals(probes.get(2), "probe " + host.lastAttempt().upstream());
     }
 
+    /** Load probes time out after a twentieth of the latency target, here 25 ms. */
     @Test
     void requestIsSentWhenNoProbeGetsAResponse() {
         RecordingHost host = probingHost(100);
@@ -761,7 +762,7 @@
         assertTrue(host.log.contains("send 1 " + host.lastAttempt().upstream() + " 0"));
     }
 
-    /** With fewer sidecars than upstreams, the own in-flight counts show enough of an upstream's load. */
+    /** With fewer sidecars than upstreams, a sidecar's own in-flight counts show enough of the load. */
     @Test
     void noLoadProbesWithFewSidecars() {
         RecordingHost host = probingHost(3);
@@ -814,6 +815,7 @@
         assertEquals(100, host.attempts.stream().filter(attempt -> attempt.request() >= 200).count());
     }
 
+    /** If the oldest went first during an overload, every request would wait until its response is late. */
     @Test
     void queuedRequestsAreSentNewestFirst() {
         RecordingHost host = host(ONCE).withUpstreams(1);
@@ -847,7 +849,7 @@
         int responsesBefore = host.finalResponses.size();
         host.request(50, 0, 600 * MS);
         assertEquals(responsesBefore, host.finalResponses.size(),
-                "600 ms left is usual for new requests: it is queued, not refused");
+                "600 ms left is usual for new requests: the request is queued, not refused");
     }
 
     @Test
