--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -144,7 +144,7 @@
         read++;
         // Whatever the first read brings may have been there while the connection was not accepted.
         long now = System.nanoTime();
-        long unread = frontend.times().maxUnreadNanos(now);
+        long unread = frontend.loopMonitor().maxUnreadNanos(now);
         long waited = Math.max(readBefore ? 0 : unaccepted, unread < SHORT_NS ? 0 : unread);
         if (!busy && queue.isEmpty() && channel.isWritable()) {
             // Taken once all that is there has been read: the client's close may lie behind the request.
@@ -160,7 +160,7 @@
 
     /** A request whose message finds no room is refused in its turn. */
     private void enqueue(FullHttpRequest message, long readAt) {
-        boolean kept = frontend.reserve(size(message));
+        boolean kept = frontend.reserveQueuedBytes(size(message));
         queue.add(new Queued(kept ? message.retain() : null, readAt));
         long waitMs = RequestParser.waitMs(message);
         if (waitMs >= 0) {
@@ -223,7 +223,7 @@
             }
             return;
         }
-        frontend.release(size(next.message()));
+        frontend.releaseQueuedBytes(size(next.message()));
         takeAndRelease(next.message(), System.nanoTime() - next.readAt());
     }
 
@@ -341,7 +341,7 @@
         cancelPatience();
         for (Queued each : queue) {
             if (each.message() != null) {
-                frontend.release(size(each.message()));
+                frontend.releaseQueuedBytes(size(each.message()));
                 each.message().release();
             }
         }
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -10,96 +10,110 @@
 import java.util.Set;
 import pondridge.SettingsReader;
 
-/** The application's side: accepts its connections and decides which of them may stay. */
+/**
+ * The server side of the sidecar: accepts client connections, limits their number, and closes them step by
+ * step at shutdown. Used on the event loop only.
+ */
 final class Frontend implements Acceptor.Listener {
-    /** Whoever has waited so long without a request may be closed upon (TERMS), for others to get in. */
-    private static final long MAY_GO_NS = 2_000_000_000;
-    /** Bodies of requests that wait behind others of their connection, over all connections. */
-    private static final int MOST_QUEUED_BYTES = 8 << 20;
-    /** Over the number that may stay, this part more gets an answer that refuses it. */
-    private static final int REFUSED_PART = 8;
+    /** The protocol permits closing a connection that has been idle for 2 s, which makes room for another. */
+    private static final long MIN_IDLE_BEFORE_CLOSE_NANOS = 2_000_000_000;
+    /** Limit for the bodies of queued requests, over all connections. */
+    private static final int MAX_QUEUED_BYTES = 8 << 20;
+    /**
+     * One eighth more connections than the limit are accepted, and each request on them is refused with a
+     * response. Connections beyond that are closed without one.
+     */
+    private static final int OVER_LIMIT_DIVISOR = 8;
 
     private final RequestDispatcher dispatcher;
-    private final EventLoopMonitor times;
+    private final EventLoopMonitor loopMonitor;
     private final RequestParser parser;
-    private final int mostConnections;
+    private final int maxConnections;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
+    /** Total size of the bodies of queued requests. */
     private int queuedBytes;
     private boolean ready;
     private boolean draining;
     private boolean finishing;
 
-    Frontend(RequestDispatcher dispatcher, EventLoopMonitor times, SettingsReader settingsReader,
-            int mostConnections) {
+    Frontend(RequestDispatcher dispatcher, EventLoopMonitor loopMonitor, SettingsReader settingsReader,
+            int maxConnections) {
         this.dispatcher = dispatcher;
-        this.times = times;
+        this.loopMonitor = loopMonitor;
         this.parser = new RequestParser(settingsReader);
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
     }
 
-    /** Listens; requests are answered at once, {@code /up} says 200 after {@link #ready}. */
+    /**
+     * Binds the listening socket. Requests are served from then on; {@code /up} responds 200 only after
+     * {@link #markReady}.
+     *
+     * @throws io.netty.channel.ChannelException if the socket cannot be created
+     */
     ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
         return Acceptor.listen(loop, address, this);
     }
 
     @Override
     public void shortage() {
-        dismissOne();
+        closeLongestIdle();
     }
 
     @Override
-    public boolean accepted(Channel made, long waited) {
-        if (connections.size() >= mostConnections) {
-            dismissOne();
+    public boolean accepted(Channel channel, long acceptDelay) {
+        if (connections.size() >= maxConnections) {
+            closeLongestIdle();
         }
-        if (connections.size() >= mostConnections + mostConnections / REFUSED_PART) {
+        if (connections.size() >= maxConnections + maxConnections / OVER_LIMIT_DIVISOR) {
             return false;
         }
         RequestDecoder decoder = new RequestDecoder();
-        ClientConnection connection = new ClientConnection(this, dispatcher, made, decoder,
-                connections.size() >= mostConnections,
-                Math.max(waited, times.maxUnreadNanos(System.nanoTime())));
-        made.pipeline().addLast(decoder, new HttpResponseEncoder(), new RequestAggregator(), connection);
+        ClientConnection connection = new ClientConnection(this, dispatcher, channel, decoder,
+                connections.size() >= maxConnections,
+                Math.max(acceptDelay, loopMonitor.maxUnreadNanos(System.nanoTime())));
+        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new RequestAggregator(), connection);
         return true;
     }
 
-    EventLoopMonitor times() {
-        return times;
+    EventLoopMonitor loopMonitor() {
+        return loopMonitor;
     }
 
     RequestParser parser() {
         return parser;
     }
 
-    /** Whether the sidecar takes requests: it is ready and not about to end. */
+    /** What {@code /up} reports: whether the sidecar is ready and not draining. */
     boolean up() {
         return ready && !draining;
     }
 
-    /** Whether each connection ends with its last answer. */
+    /** Whether each connection is closed after its last response. */
     boolean draining() {
         return draining;
     }
 
-    /** Whether requests are refused unsent, since the process is about to end. */
+    /** Whether new requests are refused unsent, since the process is about to exit. */
     boolean finishing() {
         return finishing;
     }
 
-    void ready() {
+    /** Lets {@code /up} respond 200; called once the warm-up has finished. */
+    void markReady() {
         ready = true;
     }
 
-    /** Reserves memory for a body that has to wait; false if there is none. */
-    boolean reserve(int bytes) {
-        if (queuedBytes + bytes > MOST_QUEUED_BYTES) {
+    /** Reserves memory for the body of a queued request; false if that would exceed the limit. */
+    boolean reserveQueuedBytes(int bytes) {
+        if (queuedBytes + bytes > MAX_QUEUED_BYTES) {
             return false;
         }
         queuedBytes += bytes;
         return true;
     }
 
-    void release(int bytes) {
+    /** Releases what {@link #reserveQueuedBytes} has reserved. */
+    void releaseQueuedBytes(int bytes) {
         queuedBytes -= bytes;
     }
 
@@ -112,47 +126,61 @@
     }
 
     /**
-     * From now on each answer ends its connection, and so do those that wait for none: a request that crosses
-     * such an end is sent again on a new connection, and new ones still get in, to the end of the process.
+     * Begins draining: closes idle connections that have had a response, and the others after their last
+     * response. Clients resend a request that they wrote while such a connection was being closed. New
+     * connections are accepted until the process exits.
      */
     void drain() {
         draining = true;
-        closeResting(true);
+        closeIdle(true);
     }
 
-    /** No more connections are to come: who has sent nothing by now will not. */
-    void close() {
-        closeResting(false);
+    /**
+     * Closes all idle connections, new ones included. Called when clients have stopped connecting: one
+     * without a request by then will not get one.
+     */
+    void closeIdleConnections() {
+        closeIdle(false);
     }
 
-    /** The process is about to end: all that is held is answered at once, with a refusal if nothing ran. */
+    /**
+     * Responds to all pending requests at once, since the process is about to exit: refuses those that no
+     * upstream can have run, and fails the others.
+     */
     void finish() {
         finishing = true;
         List.copyOf(connections).forEach(ClientConnection::finish);
-        closeResting(false);
+        closeIdle(false);
     }
 
-    /** The first request of a new connection may lie unread, and nobody would send that again. */
-    private void closeResting(boolean sparesNew) {
+    /**
+     * Closes idle connections.
+     *
+     * @param keepNew whether to keep those that have not had a response yet: their first request may still be
+     *     unread, and clients do not resend it
+     */
+    private void closeIdle(boolean keepNew) {
         for (ClientConnection connection : List.copyOf(connections)) {
-            if (connection.resting() && (connection.answered() || !sparesNew)) {
+            if (connection.resting() && (connection.answered() || !keepNew)) {
                 connection.dismiss();
             }
         }
     }
 
-    /** Closes upon whoever has waited for longest without a request, if long enough. */
-    private void dismissOne() {
+    /** Closes the connection that has been idle for longest, if that is long enough. */
+    private void closeLongestIdle() {
         long now = System.nanoTime();
-        connections.stream().filter(one -> one.resting() && now - one.restingSince() >= MAY_GO_NS)
-                .min((a, b) -> Long.compare(a.restingSince() - b.restingSince(), 0)).ifPresent(one -> {
-                    connections.remove(one);
-                    one.dismiss();
+        connections.stream().filter(connection -> connection.resting()
+                        && now - connection.restingSince() >= MIN_IDLE_BEFORE_CLOSE_NANOS)
+                .min((a, b) -> Long.compare(a.restingSince() - b.restingSince(), 0))
+                .ifPresent(connection -> {
+                    connections.remove(connection);
+                    connection.dismiss();
                 });
     }
 
     /** Whether no client is connected any more. */
-    boolean empty() {
+    boolean hasNoConnections() {
         return connections.isEmpty();
     }
 }
--- a/src/main/java/pondridge/sidecar/GracefulShutdown.java
+++ b/src/main/java/pondridge/sidecar/GracefulShutdown.java
@@ -63,10 +63,10 @@
         System.err.println("shutdown: draining for up to " + (killAfterMs - EXIT_BEFORE_KILL_MS) + " ms");
         frontend.drain();
         // Listening continues to the end: closing the socket would reset connections not yet accepted.
-        loop.schedule(frontend::close, NEW_CONNECTIONS_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(frontend::closeIdleConnections, NEW_CONNECTIONS_MS, TimeUnit.MILLISECONDS);
         loop.schedule(frontend::finish, killAfterMs - FINISH_BEFORE_KILL_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(() -> {
-            if (frontend.empty() && dispatcher.allRequestsFinished()) {
+            if (frontend.hasNoConnections() && dispatcher.allRequestsFinished()) {
                 // Requests that arrive between now and the exit are refused without being sent.
                 frontend.finish();
                 drained.countDown();
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -118,7 +118,7 @@
 
     /** Reports that the sidecar is ready, to clients and in the log. */
     private static void ready(Config config, Frontend frontend) {
-        frontend.ready();
+        frontend.markReady();
         System.err.println("pondridge: " + config.name() + " ready at " + config.listen());
     }
 
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -365,9 +365,9 @@
             SidecarHarness.Answer meanwhile = harness.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(404, meanwhile.status(), "and its client still gets in");
             assertEquals("close", FakeUpstream.header(meanwhile.head(), "Connection"));
-            harness.loop.submit(harness.frontend::close).sync();
+            harness.loop.submit(harness.frontend::closeIdleConnections).sync();
             assertEquals(404, harness.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status(), "to the end");
-            assertFalse(harness.loop.submit(harness.frontend::empty).get());
+            assertFalse(harness.loop.submit(harness.frontend::hasNoConnections).get());
             go.countDown();
             SidecarHarness.Answer answer = busy.read();
             assertEquals("late", answer.body());
@@ -382,7 +382,7 @@
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream);
                 SidecarHarness.Client fresh = new SidecarHarness.Client(harness.address)) {
-            while (harness.loop.submit(harness.frontend::empty).get()) {
+            while (harness.loop.submit(harness.frontend::hasNoConnections).get()) {
                 Thread.onSpinWait();
             }
             harness.loop.submit(harness.frontend::drain).sync();
@@ -399,7 +399,7 @@
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream);
                 SidecarHarness.Client fresh = new SidecarHarness.Client(harness.address)) {
-            while (harness.loop.submit(harness.frontend::empty).get()) {
+            while (harness.loop.submit(harness.frontend::hasNoConnections).get()) {
                 Thread.onSpinWait();
             }
             harness.stall(go);
