--- a/src/main/java/pondridge/sidecar/Acceptor.java
+++ b/src/main/java/pondridge/sidecar/Acceptor.java
@@ -10,45 +10,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts clients' connections. Netty's own acceptor pauses for a second after a failed {@code accept}; what
- * waits in the backlog would be late by then. This one tries again within milliseconds, without a busy loop
- * while descriptors or memory are short.
+ * Accepts client connections; runs on the event loop as the handler of the listening channel. Netty's own
+ * acceptor pauses for one second after a failed {@code accept}, too long for the requests of clients in the
+ * backlog. This one retries after a few milliseconds: not at once, since that would be a busy loop while
+ * descriptors or memory are exhausted.
  */
 final class Acceptor extends ChannelInboundHandlerAdapter {
     private static final int BACKLOG = 1024;
-    private static final long RETRY_MS = 5;
+    private static final long RETRY_DELAY_MS = 5;
 
-    /** Netty accepts so many connections in one go; after fewer the backlog is empty. */
-    private static final int MOST_AT_ONCE = 16;
+    /** Netty accepts at most this many connections per read; after fewer the backlog is empty. */
+    private static final int MAX_ACCEPTS_PER_READ = 16;
 
-    /** Takes accepted connections, on the loop. */
+    /** Receives accepted connections, on the event loop. */
     interface Listener {
         /**
-         * A connection is there; its handlers are to be added now, before it is registered.
+         * Called for each accepted connection before it is registered; adds the connection's handlers.
          *
-         * @param waited for how many nanoseconds it may have waited while none could be accepted
-         * @return whether it may stay
+         * @param acceptDelay for how many nanoseconds accepting has been failing, and so the longest that the
+         *     connection may have waited in the backlog
+         * @return whether to keep the connection; otherwise it is closed
          */
-        boolean accepted(Channel connection, long waited);
+        boolean accepted(Channel connection, long acceptDelay);
 
-        /** No connection could be accepted. */
-        void shortage();
+        /** Called when {@code accept} has failed; it is retried after a few milliseconds. */
+        void acceptFailed();
     }
 
     private final Listener listener;
     private long failures;
+    /** When the failures began, of {@link System#nanoTime}; 0 after a read that emptied the backlog. */
     private long failingSince;
-    private long lastFailingSince;
-    private int accepted;
+    /** The value of {@link #failingSince} before the last read, should that turn out to have failed. */
+    private long previousFailingSince;
+    private int acceptedInRead;
 
     private Acceptor(Listener listener) {
         this.listener = listener;
     }
 
     /**
-     * Listens at an address.
+     * Binds a listening socket to an address; the future fails if the address is not available.
      *
-     * @throws io.netty.channel.ChannelException if no socket can be had
+     * @throws io.netty.channel.ChannelException if the socket cannot be created
      */
     static ChannelFuture listen(EventLoop loop, InetSocketAddress address, Listener listener) {
         ServerChannel channel = new ServerChannel();
@@ -67,7 +71,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         Channel connection = (Channel) message;
         connection.config().setOption(ChannelOption.TCP_NODELAY, true);
-        accepted++;
+        acceptedInRead++;
         if (!listener.accepted(connection, failingSince == 0 ? 0 : System.nanoTime() - failingSince)) {
             connection.unsafe().closeForcibly();
             return;
@@ -81,26 +85,29 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (accepted < MOST_AT_ONCE) {
-            lastFailingSince = failingSince;
+        if (acceptedInRead < MAX_ACCEPTS_PER_READ) {
+            previousFailingSince = failingSince;
             failingSince = 0;
         }
-        accepted = 0;
+        acceptedInRead = 0;
     }
 
-    /** Netty calls this behind {@link #channelReadComplete} of the same go: the backlog is not empty. */
+    /**
+     * Handles a failed {@code accept}. Netty calls this after {@link #channelReadComplete} of the same read,
+     * which took the backlog for empty; it is not, so {@link #failingSince} is restored.
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        failingSince = lastFailingSince == 0 ? System.nanoTime() : lastFailingSince;
+        failingSince = previousFailingSince == 0 ? System.nanoTime() : previousFailingSince;
         failures++;
         if (Long.bitCount(failures) == 1) {
             System.err.println("frontend: accept failed, " + failures + " times so far: " + cause);
         }
-        listener.shortage();
+        listener.acceptFailed();
         Channel channel = context.channel();
         channel.config().setAutoRead(false);
         channel.eventLoop().schedule(() -> {
             channel.config().setAutoRead(true);
-        }, RETRY_MS, TimeUnit.MILLISECONDS);
+        }, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void shortage() {
+    public void acceptFailed() {
         closeLongestIdle();
     }
 
