--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -162,10 +162,10 @@
     private void enqueue(FullHttpRequest message, long readAt) {
         boolean kept = frontend.reserveQueuedBytes(size(message));
         queue.add(new Queued(kept ? message.retain() : null, readAt));
-        long waitMs = RequestParser.waitMs(message);
-        if (waitMs >= 0) {
+        long deadlineMs = RequestParser.deadlineMs(message);
+        if (deadlineMs >= 0) {
             long position = read;
-            long rushAt = readAt + (waitMs - ANSWER_ROOM_MS) * 1_000_000;
+            long rushAt = readAt + (deadlineMs - ANSWER_ROOM_MS) * 1_000_000;
             channel.eventLoop().schedule(() -> rush(position), Math.max(0, rushAt - System.nanoTime()),
                     TimeUnit.NANOSECONDS);
         }
--- a/src/main/java/pondridge/sidecar/RequestParser.java
+++ b/src/main/java/pondridge/sidecar/RequestParser.java
@@ -8,10 +8,14 @@
 import pondridge.Balancer.Semantics;
 import pondridge.SettingsReader;
 
-/** Reads from a request's head what the protocol page says of it. */
+/**
+ * Validates the headers of a client's HTTP request and turns it into a
+ * {@link RequestDispatcher.ClientRequest}. Immutable; used by {@link ClientConnection} on the event loop.
+ */
 final class RequestParser {
-    private static final long MICROS_TO_NANOS = 1_000;
-    private static final int LONGEST_NUMBER = 9;
+    private static final long NANOS_PER_MICRO = 1_000;
+    /** No deadline in milliseconds and no cost in microseconds needs more digits. */
+    private static final int MAX_NUMBER_DIGITS = 9;
     private static final long HASH_PRIME = 0x100000001b3L;
 
     private final List<RequestClass> classes;
@@ -24,7 +28,7 @@
         this.tenantNames = settingsReader.names("parties");
     }
 
-    /** The path without its query. */
+    /** The path of the request's URI, without the query. */
     static String path(FullHttpRequest message) {
         String uri = message.uri();
         int query = uri.indexOf('?');
@@ -32,15 +36,16 @@
     }
 
     /**
-     * The request as the dispatcher takes it.
+     * Parses a request for the dispatcher.
      *
-     * @param waited for how many nanoseconds it has waited for its turn; the client's time ran meanwhile
-     * @throws IllegalArgumentException naming what does not fit the protocol
+     * @param waited for how many nanoseconds the request has waited unread or queued; they count towards its
+     *     deadline
+     * @throws IllegalArgumentException if a header is missing or invalid; its message is sent to the client
      */
     RequestDispatcher.ClientRequest parse(FullHttpRequest message, long waited) {
         header(message, "Req-Id");
-        int kind = classNames.indexOf(header(message, "Req-Kind"));
-        if (kind < 0) {
+        int classIndex = classNames.indexOf(header(message, "Req-Kind"));
+        if (classIndex < 0) {
             throw new IllegalArgumentException("unknown Req-Kind");
         }
         int tenant = 0;
@@ -50,21 +55,21 @@
                 throw new IllegalArgumentException("unknown Req-Owner");
             }
         }
-        boolean keyed = message.headers().contains("Idempotency-Key");
-        Semantics semantics = classes.get(kind).semantics();
+        boolean hasIdempotencyKey = message.headers().contains("Idempotency-Key");
+        Semantics semantics = classes.get(classIndex).semantics();
         HttpMethod method = semantics == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
-        if (!message.method().equals(method) || (semantics == Semantics.BY_KEY) != keyed) {
+        if (!message.method().equals(method) || (semantics == Semantics.BY_KEY) != hasIdempotencyKey) {
             throw new IllegalArgumentException("method or Idempotency-Key does not fit the class");
         }
-        boolean hinted = message.headers().contains("Req-Cost");
-        long costHint = hinted ? number(message, "Req-Cost") * MICROS_TO_NANOS : 0;
-        return new RequestDispatcher.ClientRequest(kind, tenant, key(path(message)), waited,
+        boolean hasCostHint = message.headers().contains("Req-Cost");
+        long costHint = hasCostHint ? number(message, "Req-Cost") * NANOS_PER_MICRO : 0;
+        return new RequestDispatcher.ClientRequest(classIndex, tenant, key(path(message)), waited,
                 number(message, "Req-Deadline-Ms"), costHint, "1".equals(message.headers().get("Req-Retry")),
                 method, message.uri(), message.headers(), ByteBufUtil.getBytes(message.content()));
     }
 
-    /** How long the client waits, in milliseconds from its sending; -1 where it does not say so. */
-    static long waitMs(FullHttpRequest message) {
+    /** How long the client waits from sending the request, in milliseconds; -1 without a valid header. */
+    static long deadlineMs(FullHttpRequest message) {
         try {
             return number(message, "Req-Deadline-Ms");
         } catch (IllegalArgumentException e) {
@@ -80,22 +85,22 @@
         return value;
     }
 
-    /** A whole number that is neither negative nor longer than any wait or work can be. */
+    /** The value of a header that must be a whole number, not negative and of at most nine digits. */
     private static long number(FullHttpRequest message, String name) {
         String value = header(message, name);
-        boolean digits = value.chars().allMatch(digit -> digit >= '0' && digit <= '9');
-        if (value.length() > LONGEST_NUMBER || !digits) {
+        boolean allDigits = value.chars().allMatch(digit -> digit >= '0' && digit <= '9');
+        if (value.length() > MAX_NUMBER_DIGITS || !allDigits) {
             throw new IllegalArgumentException("not a whole number: " + name);
         }
         return Long.parseLong(value);
     }
 
-    /** What the request is about: the same number for the same last part of the path, 0 for none. */
+    /** A hash of the path's last segment, which names the object of the request; 0 if it is empty. */
     private static long key(String path) {
-        String last = path.substring(path.lastIndexOf('/') + 1);
+        String segment = path.substring(path.lastIndexOf('/') + 1);
         long key = 0;
-        for (int i = 0; i < last.length(); i++) {
-            key = key * HASH_PRIME + last.charAt(i);
+        for (int i = 0; i < segment.length(); i++) {
+            key = key * HASH_PRIME + segment.charAt(i);
         }
         return key;
     }
