--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -91,7 +91,7 @@
 
     /** Whether nothing is lost by a close: no request is held, none is arriving, no answer is on its way. */
     boolean resting() {
-        return !busy && queue.isEmpty() && unwritten == 0 && !decoder.holdsPartialRequest();
+        return !busy && queue.isEmpty() && unwritten == 0 && !decoder.hasPartialRequest();
     }
 
     /** Since when the connection waits for a request, of {@link System#nanoTime}. */
@@ -111,7 +111,7 @@
         ending = true;
         if (busy && request != 0) {
             dispatcher.abort(request);
-        } else if (!busy && decoder.holdsPartialRequest()) {
+        } else if (!busy && decoder.hasPartialRequest()) {
             busy = true;
             keepAlive = false;
             answer(Responses.refused(0));
@@ -188,7 +188,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         readBefore = true;
-        if (!busy && queue.isEmpty() && decoder.holdsPartialRequest() && !timesPartialRequest && answered) {
+        if (!busy && queue.isEmpty() && decoder.hasPartialRequest() && !timesPartialRequest && answered) {
             awaitRequest(FIRST_REQUEST_MS);
             timesPartialRequest = true;
         }
@@ -311,7 +311,7 @@
 
     /** The close is announced only on the last answer: what was read before it is answered, too. */
     private void answer(FullHttpResponse response) {
-        boolean last = queue.isEmpty() && !(decoder.holdsPartialRequest() && keepAlive);
+        boolean last = queue.isEmpty() && !(decoder.hasPartialRequest() && keepAlive);
         boolean keep = keepAlive && !(last && (frontend.draining() || ending || crowded));
         HttpUtil.setContentLength(response, response.content().readableBytes());
         if (!keep) {
--- a/src/main/java/pondridge/sidecar/RequestDecoder.java
+++ b/src/main/java/pondridge/sidecar/RequestDecoder.java
@@ -7,18 +7,22 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Reads clients' requests, and knows whether one has begun to arrive and is not whole yet. */
+/**
+ * Decodes the requests of one client connection, on the event loop, and tracks whether a request has been
+ * received in part.
+ */
 final class RequestDecoder extends HttpRequestDecoder {
-    private boolean withinMessage;
+    /** Whether the first line of a request has been decoded and its end has not. */
+    private boolean insideMessage;
 
-    /** Whether bytes of a request that is not whole have been read. */
-    boolean holdsPartialRequest() {
-        return withinMessage || actualReadableBytes() > 0;
+    /** Whether some bytes of a request have been received, but not all. */
+    boolean hasPartialRequest() {
+        return insideMessage || actualReadableBytes() > 0;
     }
 
     @Override
     protected HttpMessage createMessage(String[] initialLine) throws Exception {
-        withinMessage = true;
+        insideMessage = true;
         return super.createMessage(initialLine);
     }
 
@@ -26,7 +30,7 @@
     protected void decode(ChannelHandlerContext context, ByteBuf bytes, List<Object> out) throws Exception {
         super.decode(context, bytes, out);
         if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
-            withinMessage = false;
+            insideMessage = false;
         }
     }
 }
