--- a/src/main/java/pondridge/sidecar/RequestAggregator.java
+++ b/src/main/java/pondridge/sidecar/RequestAggregator.java
@@ -9,14 +9,15 @@
 import io.netty.handler.codec.http.TooLongHttpContentException;
 
 /**
- * Puts requests together. One that is too large goes on as a request that can't be decoded, so that its error
- * is sent in its turn; Netty's own would overtake the answers to requests before it.
+ * Aggregates the parts of a request into one message, on the event loop. A request whose body is too large is
+ * passed on as one that failed to decode, so that its error response is sent in its turn: Netty's own
+ * implementation would send it before the responses to earlier requests.
  */
 final class RequestAggregator extends HttpObjectAggregator {
-    private static final int LARGEST_BODY = 1 << 16;
+    private static final int MAX_BODY_BYTES = 1 << 16;
 
     RequestAggregator() {
-        super(LARGEST_BODY);
+        super(MAX_BODY_BYTES);
     }
 
     @Override
