--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -255,20 +255,21 @@
             answer(Responses.refused(0));
         } else if (path.equals("/up")) {
             boolean up = frontend.up();
-            answer(Responses.plain(up ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
+            answer(Responses.plainText(up ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    ""));
         } else if (path.equals("/api") || path.startsWith("/api/")) {
             submit(message, waited);
         } else {
-            answer(Responses.plain(HttpResponseStatus.NOT_FOUND, "no such path"));
+            answer(Responses.plainText(HttpResponseStatus.NOT_FOUND, "no such path"));
         }
     }
 
     private void answerUndecoded(Throwable cause) {
         if (cause instanceof TooLongHttpContentException) {
-            answer(Responses.plain(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large"));
+            answer(Responses.plainText(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large"));
         } else {
             keepAlive = false;
-            answer(Responses.plain(HttpResponseStatus.BAD_REQUEST, "malformed request"));
+            answer(Responses.plainText(HttpResponseStatus.BAD_REQUEST, "malformed request"));
         }
     }
 
@@ -277,7 +278,7 @@
         try {
             clientRequest = frontend.parser().parse(message, waited);
         } catch (IllegalArgumentException e) {
-            answer(Responses.plain(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
+            answer(Responses.plainText(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
             return;
         }
         // The answer may come within this call; then the connection may already hold another request.
@@ -306,7 +307,7 @@
 
     @Override
     public void onFailed() {
-        answer(Responses.plain(HttpResponseStatus.BAD_GATEWAY, "failed"));
+        answer(Responses.plainText(HttpResponseStatus.BAD_GATEWAY, "failed"));
     }
 
     /** The close is announced only on the last answer: what was read before it is answered, too. */
--- a/src/main/java/pondridge/sidecar/Responses.java
+++ b/src/main/java/pondridge/sidecar/Responses.java
@@ -11,34 +11,40 @@
 import java.math.RoundingMode;
 import java.nio.charset.StandardCharsets;
 
-/** The answers that clients get. */
+/** Builds the responses to clients; used by {@link ClientConnection} on the event loop. */
 final class Responses {
+    /** Decimal places of a time in seconds that is given in nanoseconds. */
     private static final int NANO_SCALE = 9;
+    /** Decimal places of {@code Retry-After}, which is in seconds. */
     private static final int MILLI_SCALE = 3;
 
     private Responses() { }
 
-    /** A status with a line of text. */
-    static FullHttpResponse plain(HttpResponseStatus status, String text) {
+    /** A response with a plain text body. */
+    static FullHttpResponse plainText(HttpResponseStatus status, String text) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
         return response;
     }
 
-    /** An upstream's answer. */
-    static FullHttpResponse served(RequestDispatcher.UpstreamResponse answer) {
+    /** An upstream's response, without the headers that concern only its connection. */
+    static FullHttpResponse served(RequestDispatcher.UpstreamResponse upstreamResponse) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                Unpooled.wrappedBuffer(answer.body()));
-        HeaderFilter.copyEndToEnd(answer.headers(), response.headers());
+                Unpooled.wrappedBuffer(upstreamResponse.body()));
+        HeaderFilter.copyEndToEnd(upstreamResponse.headers(), response.headers());
         return response;
     }
 
-    /** A refusal; {@code wait} in nanoseconds tells when to try again, 0 says nothing of it. */
-    static FullHttpResponse refused(long wait) {
-        FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
-        if (wait > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf(wait, NANO_SCALE)
+    /**
+     * A refusal, after which a client retry is safe.
+     *
+     * @param retryAfter nanoseconds after which to retry; 0 for a response without {@code Retry-After}
+     */
+    static FullHttpResponse refused(long retryAfter) {
+        FullHttpResponse response = plainText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
+        if (retryAfter > 0) {
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf(retryAfter, NANO_SCALE)
                     .setScale(MILLI_SCALE, RoundingMode.UP).toPlainString());
         }
         return response;
