--- a/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
+++ b/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
@@ -59,7 +59,7 @@
         PrintStream stream = new PrintStream(log, true, StandardCharsets.UTF_8);
         stream.println("first");
         stream.println("second");
-        log.awaitWritten(FakeUpstream.LIMIT_S * 1_000);
+        log.awaitWritten(FakeUpstream.TIMEOUT_S * 1_000);
         assertEquals("second\n", written.toString(StandardCharsets.UTF_8));
         assertEquals(1, log.lostLines());
     }
--- a/src/test/java/pondridge/sidecar/DeployedIT.java
+++ b/src/test/java/pondridge/sidecar/DeployedIT.java
@@ -44,7 +44,7 @@
     }
 
     private int awaitExit() throws InterruptedException {
-        assertTrue(process.waitFor(FakeUpstream.LIMIT_S, TimeUnit.SECONDS), "still running");
+        assertTrue(process.waitFor(FakeUpstream.TIMEOUT_S, TimeUnit.SECONDS), "still running");
         return process.exitValue();
     }
 
@@ -80,7 +80,7 @@
         CountDownLatch respond = new CountDownLatch(1);
         try (FakeUpstream upstream = new FakeUpstream((socket, head) -> {
             try {
-                return respond.await(FakeUpstream.LIMIT_S, TimeUnit.SECONDS)
+                return respond.await(FakeUpstream.TIMEOUT_S, TimeUnit.SECONDS)
                         && FakeUpstream.reply(socket, "200 OK", "", "held");
             } catch (InterruptedException e) {
                 return false;
@@ -136,7 +136,7 @@
             Files.writeString(file, json.put("discovery", newDiscovery.endpoint()).toString());
             sendSighup();
             assertTrue(FakeUpstream.next(newDiscovery.heads).contains("watch=1&from=41 "));
-            FakeUpstream.next(oldDiscovery.ended);
+            FakeUpstream.next(oldDiscovery.disconnects);
             try (SidecarHarness.Client client = new SidecarHarness.Client(address)) {
                 assertEquals("x", client.ask(SidecarHarness.look("a")).body());
             }
--- a/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -153,7 +153,7 @@
             ListUpdate update = FakeUpstream.next(updates);
             assertEquals(ListUpdateType.FULL, update.type);
             assertEquals(9, update.entries.get(0).endpoint().getPort());
-            FakeUpstream.next(server.ended);
+            FakeUpstream.next(server.disconnects);
             assertEquals(0, updates.size());
         }
     }
--- a/src/test/java/pondridge/sidecar/FakeUpstream.java
+++ b/src/test/java/pondridge/sidecar/FakeUpstream.java
@@ -16,21 +16,25 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A peer on a port that the system chose: a script plays each request on each connection. */
+/**
+ * A scripted HTTP server on an ephemeral loopback port; stands in for an upstream or for discovery. Each
+ * connection has a thread of its own.
+ */
 final class FakeUpstream implements AutoCloseable {
-    /** Long enough for a crowded machine; a test that passes never waits so long. */
-    static final long LIMIT_S = 30;
+    /** Long enough for a loaded machine; a test that passes never waits so long. */
+    static final long TIMEOUT_S = 30;
 
-    /** What a fake upstream does with one request; false ends the connection. */
+    /** Responds to one request; a result of false closes the connection. */
     interface Script {
-        boolean play(Socket socket, String head) throws IOException;
+        boolean respond(Socket socket, String head) throws IOException;
     }
 
+    /** Request line and headers of each request received. */
     final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
     final BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-    /** One entry each time that the other side has ended a connection. */
-    final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    /** One entry for each connection that the sidecar has closed or reset. */
+    final BlockingQueue<String> disconnects = new LinkedBlockingQueue<>();
+    private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
     private final Thread acceptor;
     private final Script script;
@@ -42,10 +46,10 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        acceptor = thread(this::accept);
+        acceptor = startThread(this::acceptAll);
     }
 
-    /** An upstream that answers each request with 200 and this body. */
+    /** An upstream that responds to each request with 200 and this body. */
     static FakeUpstream serving(String body) {
         return new FakeUpstream((socket, head) ->
                 reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
@@ -62,23 +66,24 @@
         socket.getOutputStream().flush();
     }
 
-    /** Ends a connection with a reset instead of an orderly close. */
+    /** Makes the close of a connection a TCP reset; returns false, for the script to return. */
     static boolean reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         return false;
     }
 
-    static Thread thread(Runnable work) {
-        Thread thread = new Thread(work);
+    static Thread startThread(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
+    /** Takes the next entry of a queue; fails the test if none comes within the time-out. */
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(LIMIT_S, TimeUnit.SECONDS);
+        T next = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came within " + LIMIT_S + " s");
+            throw new AssertionError("no entry within " + TIMEOUT_S + " s");
         }
         return next;
     }
@@ -91,36 +96,36 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    private void accept() {
+    private void acceptAll() {
         try {
             while (true) {
                 Socket socket = server.accept();
-                open.add(socket);
-                thread(() -> serve(socket));
+                sockets.add(socket);
+                startThread(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the fake upstream's end.
+            // The listening socket has been closed by stop().
         }
     }
 
     private void serve(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String head = head(in); !head.isEmpty(); head = head(in)) {
-                bodies.add(new String(in.readNBytes(length(head)), StandardCharsets.ISO_8859_1));
+            for (String head = readHead(in); !head.isEmpty(); head = readHead(in)) {
+                bodies.add(new String(in.readNBytes(contentLength(head)), StandardCharsets.ISO_8859_1));
                 heads.add(head);
-                if (!script.play(socket, head)) {
+                if (!script.respond(socket, head)) {
                     return;
                 }
             }
-            ended.add("end");
+            disconnects.add("end");
         } catch (IOException e) {
-            ended.add("broken");
+            disconnects.add("broken");
         }
     }
 
-    /** Reads up to and with the blank line; empty at the connection's end. */
-    static String head(InputStream in) throws IOException {
+    /** Reads a head up to and including its blank line; empty at the end of the stream. */
+    static String readHead(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0; next = in.read()) {
             head.write(next);
@@ -131,7 +136,7 @@
         return "";
     }
 
-    static int length(String head) {
+    static int contentLength(String head) {
         String length = header(head, "content-length");
         return length == null ? 0 : Integer.parseInt(length);
     }
@@ -143,18 +148,21 @@
 
     @Override
     public void close() throws IOException {
-        die();
+        stop();
     }
 
-    /** Ends as a process does: connections break, new ones are refused, once nobody accepts. */
-    void die() throws IOException {
+    /**
+     * Closes everything, as the end of a process does: open connections are closed, new ones are refused. The
+     * accepting thread ends first, so that it adds no socket meanwhile.
+     */
+    void stop() throws IOException {
         server.close();
         try {
             acceptor.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (Socket socket : open) {
+        for (Socket socket : sockets) {
             socket.close();
         }
     }
--- a/src/test/java/pondridge/sidecar/PeerMessengerTest.java
+++ b/src/test/java/pondridge/sidecar/PeerMessengerTest.java
@@ -20,7 +20,7 @@
 import pondridge.Balancer.Actions;
 
 /** Sends and receives peer messages on real sockets. */
-@Timeout(FakeUpstream.LIMIT_S)
+@Timeout(FakeUpstream.TIMEOUT_S)
 class PeerMessengerTest {
     private record Received(int from, byte[] message) { }
 
@@ -36,7 +36,7 @@
 
     private static DatagramSocket socket() throws Exception {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakeUpstream.LIMIT_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakeUpstream.TIMEOUT_S));
         return socket;
     }
 
--- a/src/test/java/pondridge/sidecar/SidecarHarness.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -127,7 +127,7 @@
 
         Client(InetSocketAddress address) throws IOException {
             socket = new Socket(address.getAddress(), address.getPort());
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakeUpstream.LIMIT_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakeUpstream.TIMEOUT_S));
             in = new BufferedInputStream(socket.getInputStream());
         }
 
@@ -137,11 +137,12 @@
         }
 
         Answer read() throws IOException {
-            String head = FakeUpstream.head(in);
+            String head = FakeUpstream.readHead(in);
             if (head.isEmpty()) {
                 throw new IOException("connection ended without an answer");
             }
-            String body = new String(in.readNBytes(FakeUpstream.length(head)), StandardCharsets.ISO_8859_1);
+            String body = new String(in.readNBytes(FakeUpstream.contentLength(head)),
+                    StandardCharsets.ISO_8859_1);
             return new Answer(Integer.parseInt(head.substring(9, 12)), head, body);
         }
 
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -80,7 +80,7 @@
     void unsafeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
         try (FakeUpstream gone = FakeUpstream.serving("x"); FakeUpstream upstream = FakeUpstream.serving("y");
                 SidecarHarness harness = SidecarHarness.with(gone, upstream)) {
-            gone.die();
+            gone.stop();
             for (int i = 0; i < 4; i++) {
                 assertEquals("y", harness.ask(SidecarHarness.post("book", "", "b" + i)).body());
                 assertEquals("b" + i, FakeUpstream.next(upstream.bodies), "each once");
@@ -126,7 +126,7 @@
             try (FakeUpstream upstream = new FakeUpstream(garbles);
                     SidecarHarness harness = SidecarHarness.with(upstream)) {
                 assertEquals(502, harness.ask(SidecarHarness.post("book", "", "b")).status(), bad);
-                FakeUpstream.next(upstream.ended);
+                FakeUpstream.next(upstream.disconnects);
             }
         }
         FakeUpstream.Script odd = (socket, head) ->
@@ -177,7 +177,7 @@
                 FakeUpstream.write(client.socket, SidecarHarness.look("a"));
                 FakeUpstream.next(silent.heads);
             }
-            FakeUpstream.next(silent.ended);
+            FakeUpstream.next(silent.disconnects);
         }
     }
 
@@ -210,7 +210,7 @@
             String shorter = SidecarHarness.post("book", "", "b")
                     .replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
             assertEquals(502, harness.ask(shorter).status());
-            FakeUpstream.next(silent.ended);
+            FakeUpstream.next(silent.disconnects);
         }
     }
 
@@ -237,7 +237,7 @@
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
             try (SidecarHarness harness = new SidecarHarness(json)) {
                 assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
-                FakeUpstream.next(upstream.ended);
+                FakeUpstream.next(upstream.disconnects);
                 assertEquals(200, harness.ask(SidecarHarness.look("b")).status());
             }
         }
@@ -298,7 +298,7 @@
                         assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
                     }
                     go.countDown();
-                    FakeUpstream.next(drained.ended);
+                    FakeUpstream.next(drained.disconnects);
                     int before = drained.heads.size();
                     for (int i = 0; i < 6; i++) {
                         assertEquals("y", harness.ask(SidecarHarness.look("b" + i)).body());
--- a/src/test/java/pondridge/sidecar/UpstreamClientTest.java
+++ b/src/test/java/pondridge/sidecar/UpstreamClientTest.java
@@ -97,9 +97,9 @@
                 assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "upstream " + id);
                 Thread.sleep(UpstreamClient.MIN_IDLE_BEFORE_REUSE_MS);
             }
-            FakeUpstream.next(first.ended);
-            FakeUpstream.next(third.ended);
-            assertEquals(0, second.ended.size(), "closed connections that were not idle for longest");
+            FakeUpstream.next(first.disconnects);
+            FakeUpstream.next(third.disconnects);
+            assertEquals(0, second.disconnects.size(), "closed connections that were not idle for longest");
         }
     }
 
@@ -143,7 +143,7 @@
             assertEquals(Outcome.OK, FakeUpstream.next(outcomes));
             loop.execute(() ->
                     upstreamClient.updateUpstream(1, upstream.address(), 1_700_000_000_000L, true));
-            FakeUpstream.next(upstream.ended);
+            FakeUpstream.next(upstream.disconnects);
             send(upstreamClient);
             assertEquals(Outcome.OK, FakeUpstream.next(outcomes), "on a new connection");
         }
