--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/ConfigTest.java
@@ -16,7 +16,7 @@
 
     @Test
     void settingsAreReadAsTheSimulatorSendsThem() throws Exception {
-        Config config = Config.of(SidecarHarness.json());
+        Config config = Config.of(SidecarHarness.configJson());
         Settings settings = config.settingsReader().settings();
         assertEquals(List.of("rate", "q"), settings.reportFields());
         assertEquals(Semantics.ONCE, settings.classes().get(2).semantics());
@@ -31,17 +31,17 @@
     @Test
     void errorMessagesNameTheKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
-            ObjectNode json = SidecarHarness.json();
+            ObjectNode json = SidecarHarness.configJson();
             json.remove(key);
             assertNames(key, json);
         }
-        ObjectNode json = SidecarHarness.json();
+        ObjectNode json = SidecarHarness.configJson();
         json.withObject("/settings/rules").remove("rampTime");
         assertNames("rules.rampTime", json);
-        json = SidecarHarness.json();
+        json = SidecarHarness.configJson();
         json.withObject("/settings/caps").put("tryLimit", "many");
         assertNames("caps.tryLimit", json);
-        json = SidecarHarness.json();
+        json = SidecarHarness.configJson();
         json.withObject("/limits").put("sockets", 3);
         assertNames("limits.sockets", json);
     }
--- a/src/test/java/pondridge/sidecar/DeployedIT.java
+++ b/src/test/java/pondridge/sidecar/DeployedIT.java
@@ -57,7 +57,7 @@
     private void awaitUp(InetSocketAddress address) throws Exception {
         while (true) {
             try (SidecarHarness.Client client = new SidecarHarness.Client(address)) {
-                if (client.ask(UP_REQUEST).status() == 200) {
+                if (client.exchange(UP_REQUEST).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
@@ -69,7 +69,7 @@
 
     @Test
     void simStartsAndExitsAtTheEndOfItsInput() throws Exception {
-        start("sim", SidecarHarness.json());
+        start("sim", SidecarHarness.configJson());
         process.getOutputStream().close();
         assertEquals(0, awaitExit());
     }
@@ -87,25 +87,25 @@
             }
         })) {
             InetSocketAddress address = freeAddress();
-            start("run", SidecarHarness.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
+            start("run", SidecarHarness.configJson(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
             try (SidecarHarness.Client client = new SidecarHarness.Client(address);
                     SidecarHarness.Client otherClient = new SidecarHarness.Client(address)) {
-                FakeUpstream.write(client.socket, SidecarHarness.look("a"));
+                FakeUpstream.write(client.socket, SidecarHarness.safeRequest("a"));
                 FakeUpstream.next(upstream.heads);
-                assertEquals(200, otherClient.ask(UP_REQUEST).status());
+                assertEquals(200, otherClient.exchange(UP_REQUEST).status());
                 process.destroy();
                 // The shutdown has begun once /up has another status on an open connection, or it is closed.
                 int status = 200;
                 while (status == 200) {
                     try {
-                        status = otherClient.ask(UP_REQUEST).status();
+                        status = otherClient.exchange(UP_REQUEST).status();
                     } catch (IOException e) {
                         status = 0;
                     }
                 }
                 respond.countDown();
-                assertEquals("held", client.read().body());
+                assertEquals("held", client.readResponse().body());
             }
             assertEquals(0, awaitExit());
         }
@@ -122,7 +122,8 @@
                 FakeUpstream oldDiscovery = new FakeUpstream(openWatch);
                 FakeUpstream newDiscovery = new FakeUpstream(openWatch)) {
             InetSocketAddress address = freeAddress();
-            ObjectNode json = SidecarHarness.json(upstream).put("listen", "127.0.0.1:" + address.getPort())
+            ObjectNode json = SidecarHarness.configJson(upstream)
+                    .put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", oldDiscovery.endpoint());
             start("run", json);
             awaitUp(address);
@@ -138,7 +139,7 @@
             assertTrue(FakeUpstream.next(newDiscovery.heads).contains("watch=1&from=41 "));
             FakeUpstream.next(oldDiscovery.disconnects);
             try (SidecarHarness.Client client = new SidecarHarness.Client(address)) {
-                assertEquals("x", client.ask(SidecarHarness.look("a")).body());
+                assertEquals("x", client.exchange(SidecarHarness.safeRequest("a")).body());
             }
         }
     }
@@ -149,7 +150,7 @@
 
     @Test
     void invalidConfigurationExitsWithOneLineNamingTheKey() throws Exception {
-        ObjectNode json = SidecarHarness.json();
+        ObjectNode json = SidecarHarness.configJson();
         json.withObject("/settings/rules").remove("rampTime");
         start("run", json);
         String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -36,7 +36,7 @@
     }
 
     private static String entry(String state) {
-        return SidecarHarness.target("s-1", "127.0.0.1:9", state).toString();
+        return SidecarHarness.listEntry("s-1", "127.0.0.1:9", state).toString();
     }
 
     private static String chunk(String text) {
@@ -101,7 +101,7 @@
     @Test
     void invalidEntryOfAWholeListKeepsTheLastValidEntry() throws Exception {
         String valid = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
-                + SidecarHarness.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
+                + SidecarHarness.listEntry("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
         String invalid = "{\"rev\":43,\"all\":true,\"targets\":["
                 + "{\"uid\":\"s-1\",\"state\":\"SERV\",\"endpoint\":7},{\"uid\":\"s-3\"}]}\n";
         try (FakeUpstream server = new FakeUpstream((socket, head) -> {
@@ -125,7 +125,7 @@
     @Test
     void entryWithoutAUidRemovesNoUpstream() throws Exception {
         String valid = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + ","
-                + SidecarHarness.target("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
+                + SidecarHarness.listEntry("s-2", "127.0.0.1:8", "SERVING") + "]}\n";
         String invalid = "{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + ",5]}\n";
         String complete = "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
         try (FakeUpstream server = new FakeUpstream((socket, head) -> {
--- a/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
+++ b/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
@@ -43,7 +43,7 @@
     void requestWithBlockedAttemptIsRemoved() throws Exception {
         HttpHeaders headers = new DefaultHttpHeaders().add("Req-Id", "a").add("Req-Kind", "look");
         RequestDispatcher.ClientRequest clientRequest = new RequestDispatcher.ClientRequest(0, 0, 0, 0,
-                SidecarHarness.LONG_MS, 0, false, HttpMethod.GET, "/api/a", headers, new byte[0]);
+                SidecarHarness.DEADLINE_MS, 0, false, HttpMethod.GET, "/api/a", headers, new byte[0]);
         DisconnectedClient client = new DisconnectedClient();
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
--- a/src/test/java/pondridge/sidecar/SidecarHarness.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -21,31 +21,38 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A sidecar in this process, with its upstreams known from the start, and a client for it. */
+/**
+ * A sidecar in the test's process, on an event loop of its own, that knows its upstreams from the start. Also
+ * builds configurations and requests, and has a client.
+ */
 final class SidecarHarness implements AutoCloseable {
-    static final int LONG_MS = 20_000;
+    /** {@code Req-Deadline-Ms} of the requests built here: longer than any test waits. */
+    static final int DEADLINE_MS = 20_000;
 
-    private final EventLoopMonitor times = new EventLoopMonitor();
+    private final EventLoopMonitor loopMonitor = new EventLoopMonitor();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, times.wrap(NioIoHandler.newFactory()));
+            new MultiThreadIoEventLoopGroup(1, loopMonitor.wrap(NioIoHandler.newFactory()));
     final EventLoop loop = group.next();
     final Frontend frontend;
     final RequestDispatcher dispatcher;
     final InetSocketAddress address;
 
-    /** An answer as the client saw it. */
-    record Answer(int status, String head, String body) { }
+    /** A response as the client received it. */
+    record Response(int status, String head, String body) { }
 
     SidecarHarness(ObjectNode json) throws Exception {
         Config config = Config.of(json);
         dispatcher = new RequestDispatcher(loop, config, 100);
-        frontend = new Frontend(dispatcher, times, config.settingsReader(), 100);
+        frontend = new Frontend(dispatcher, loopMonitor, config.settingsReader(), 100);
         loop.submit(() -> dispatcher.start(config.cachedList())).sync();
         address = (InetSocketAddress) frontend.listen(loop, config.listen()).sync().channel().localAddress();
     }
 
-    /** Keeps the loop busy in the midst of reading sockets, from when this returns until {@code go}. */
-    void stall(CountDownLatch go) throws Exception {
+    /**
+     * Blocks the event loop while it reads its sockets; returns once the loop is blocked, which lasts until
+     * {@code resume} is counted down.
+     */
+    void stallLoop(CountDownLatch resume) throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             new Bootstrap().group(loop).channel(NioSocketChannel.class)
@@ -55,7 +62,7 @@
                                 throws Exception {
                             ReferenceCountUtil.release(message);
                             stalled.countDown();
-                            go.await();
+                            resume.await();
                             context.close();
                         }
                     }).connect(server.getLocalSocketAddress()).sync();
@@ -67,11 +74,11 @@
     }
 
     static SidecarHarness with(FakeUpstream... upstreams) throws Exception {
-        return new SidecarHarness(json(upstreams));
+        return new SidecarHarness(configJson(upstreams));
     }
 
-    /** A configuration with classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
-    static ObjectNode json(FakeUpstream... upstreams) throws IOException {
+    /** A configuration with request classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
+    static ObjectNode configJson(FakeUpstream... upstreams) throws IOException {
         ObjectNode root = (ObjectNode) Config.JSON.readTree("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -91,36 +98,39 @@
                    {"name":"book","slo":20000000000,"deadline":20000000000,"semantics":"once"}]}}""");
         ArrayNode targets = root.withObject("/known").withArray("/targets");
         for (int i = 0; i < upstreams.length; i++) {
-            targets.add(target("s-" + i, upstreams[i].endpoint(), "SERVING"));
+            targets.add(listEntry("s-" + i, upstreams[i].endpoint(), "SERVING"));
         }
         return root;
     }
 
-    static ObjectNode target(String uid, String endpoint, String state) {
+    /** An entry of the upstream list. */
+    static ObjectNode listEntry(String uid, String endpoint, String state) {
         return Config.JSON.createObjectNode().put("uid", uid).put("endpoint", endpoint).put("az", "a")
                 .put("model", "m").put("pod_group", 1).put("state", state).put("capacity_hint", 1.0)
                 .put("boot_ms", 0);
     }
 
-    static String look(String id) {
+    /** A request of class look. */
+    static String safeRequest(String id) {
         return "GET /api/7f3a?full=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
-                + "\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + LONG_MS + "\r\n\r\n";
+                + "\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n";
     }
 
-    static String post(String kind, String headers, String body) {
-        return "POST /api/7f3a HTTP/1.1\r\nHost: app.svc\r\nReq-Id: 9b1f\r\nReq-Kind: " + kind
-                + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + LONG_MS + "\r\n" + headers
+    /** A POST request with further header lines, each with its line end. */
+    static String post(String className, String headers, String body) {
+        return "POST /api/7f3a HTTP/1.1\r\nHost: app.svc\r\nReq-Id: 9b1f\r\nReq-Kind: " + className
+                + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + DEADLINE_MS + "\r\n" + headers
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Sends on a connection of its own and reads one answer. */
-    Answer ask(String request) throws IOException {
+    /** Sends a request on a new connection and reads one response. */
+    Response exchange(String request) throws IOException {
         try (Client client = new Client(address)) {
-            return client.ask(request);
+            return client.exchange(request);
         }
     }
 
-    /** One connection of the application's. */
+    /** One client connection to the sidecar. */
     static final class Client implements AutoCloseable {
         final Socket socket;
         private final InputStream in;
@@ -131,19 +141,19 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Answer ask(String request) throws IOException {
+        Response exchange(String request) throws IOException {
             FakeUpstream.write(socket, request);
-            return read();
+            return readResponse();
         }
 
-        Answer read() throws IOException {
+        Response readResponse() throws IOException {
             String head = FakeUpstream.readHead(in);
             if (head.isEmpty()) {
-                throw new IOException("connection ended without an answer");
+                throw new IOException("connection closed without a response");
             }
             String body = new String(in.readNBytes(FakeUpstream.contentLength(head)),
                     StandardCharsets.ISO_8859_1);
-            return new Answer(Integer.parseInt(head.substring(9, 12)), head, body);
+            return new Response(Integer.parseInt(head.substring(9, 12)), head, body);
         }
 
         @Override
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -18,7 +18,7 @@
     void requestAndAnswerGoOnUnchanged() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("{\"parts\":7}");
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
-            SidecarHarness.Answer answer = harness.ask(SidecarHarness.post("hold",
+            SidecarHarness.Response answer = harness.exchange(SidecarHarness.post("hold",
                     "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
             assertEquals(200, answer.status());
             assertEquals("{\"parts\":7}", answer.body());
@@ -29,9 +29,9 @@
             assertEquals("5c0f", FakeUpstream.header(head, "Idempotency-Key"));
             assertEquals("t1", FakeUpstream.header(head, "X-Trace"));
             int wait = Integer.parseInt(FakeUpstream.header(head, "Req-Deadline-Ms"));
-            assertTrue(wait > 0 && wait < SidecarHarness.LONG_MS, "room for the way back: " + wait);
+            assertTrue(wait > 0 && wait < SidecarHarness.DEADLINE_MS, "room for the way back: " + wait);
             assertEquals("two", FakeUpstream.next(upstream.bodies));
-            assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
+            assertEquals(200, harness.exchange(SidecarHarness.safeRequest("a")).status());
             assertTrue(FakeUpstream.next(upstream.heads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
@@ -42,7 +42,7 @@
         String body = "x".repeat(1 << 16);
         try (FakeUpstream upstream = FakeUpstream.serving(body);
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
-            assertEquals(body, harness.ask(SidecarHarness.post("book", "", body)).body());
+            assertEquals(body, harness.exchange(SidecarHarness.post("book", "", body)).body());
             assertEquals(body, FakeUpstream.next(upstream.bodies));
         }
     }
@@ -54,22 +54,24 @@
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
             for (String bad : List.of(
                     "NONSENSE\r\n\r\n",
-                    SidecarHarness.look("a").replace("Req-Id: a\r\n", ""),
-                    SidecarHarness.look("a").replace("look", "glance"),
-                    SidecarHarness.look("a").replace("acme", "nobody"),
-                    SidecarHarness.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
-                    SidecarHarness.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
-                    SidecarHarness.look("a")
+                    SidecarHarness.safeRequest("a").replace("Req-Id: a\r\n", ""),
+                    SidecarHarness.safeRequest("a").replace("look", "glance"),
+                    SidecarHarness.safeRequest("a").replace("acme", "nobody"),
+                    SidecarHarness.safeRequest("a")
+                            .replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
+                    SidecarHarness.safeRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
+                    SidecarHarness.safeRequest("a")
                             .replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
-                    SidecarHarness.look("a").replace("GET", "PUT"),
+                    SidecarHarness.safeRequest("a").replace("GET", "PUT"),
                     SidecarHarness.post("hold", "", "x"),
                     SidecarHarness.post("book", "Idempotency-Key: 1\r\n", "x"))) {
-                assertEquals(400, harness.ask(bad).status(), bad);
+                assertEquals(400, harness.exchange(bad).status(), bad);
             }
-            assertEquals(404, harness.ask(SidecarHarness.look("a").replace("/api/", "/other/")).status());
-            assertEquals(413, harness.ask(SidecarHarness.post("book", "", "x".repeat((1 << 16) + 1)))
+            assertEquals(404, harness.exchange(SidecarHarness.safeRequest("a").replace("/api/", "/other/"))
                     .status());
-            assertEquals(200, harness.ask(SidecarHarness.look("good")).status());
+            assertEquals(413, harness.exchange(SidecarHarness.post("book", "", "x".repeat((1 << 16) + 1)))
+                    .status());
+            assertEquals(200, harness.exchange(SidecarHarness.safeRequest("good")).status());
             assertEquals("good", FakeUpstream.header(FakeUpstream.next(upstream.heads), "Req-Id"));
             assertNull(upstream.heads.poll(), "no other request came this far");
         }
@@ -82,7 +84,7 @@
                 SidecarHarness harness = SidecarHarness.with(gone, upstream)) {
             gone.stop();
             for (int i = 0; i < 4; i++) {
-                assertEquals("y", harness.ask(SidecarHarness.post("book", "", "b" + i)).body());
+                assertEquals("y", harness.exchange(SidecarHarness.post("book", "", "b" + i)).body());
                 assertEquals("b" + i, FakeUpstream.next(upstream.bodies), "each once");
             }
             assertNull(upstream.bodies.poll());
@@ -106,7 +108,7 @@
             };
             try (FakeUpstream one = new FakeUpstream(script); FakeUpstream two = new FakeUpstream(script);
                     SidecarHarness harness = SidecarHarness.with(one, two)) {
-                assertEquals(502, harness.ask(SidecarHarness.post("book", "", "b")).status(), how);
+                assertEquals(502, harness.exchange(SidecarHarness.post("book", "", "b")).status(), how);
                 assertEquals(1, one.heads.size() + two.heads.size(), how);
             }
         }
@@ -125,7 +127,7 @@
             };
             try (FakeUpstream upstream = new FakeUpstream(garbles);
                     SidecarHarness harness = SidecarHarness.with(upstream)) {
-                assertEquals(502, harness.ask(SidecarHarness.post("book", "", "b")).status(), bad);
+                assertEquals(502, harness.exchange(SidecarHarness.post("book", "", "b")).status(), bad);
                 FakeUpstream.next(upstream.disconnects);
             }
         }
@@ -133,7 +135,8 @@
                 FakeUpstream.reply(socket, "200 OK", "Empty:\r\nBlank : b\r\n", "x");
         try (FakeUpstream upstream = new FakeUpstream(odd);
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
-            assertEquals("x", harness.ask(SidecarHarness.post("book", "", "b")).body(), "odd, but readable");
+            assertEquals("x", harness.exchange(SidecarHarness.post("book", "", "b")).body(),
+                    "odd, but readable");
         }
     }
 
@@ -141,11 +144,11 @@
     @Test
     void safeAndKeyedRequestsAreSentAgainAfterAReset() throws Exception {
         FakeUpstream.Script script = (socket, head) -> FakeUpstream.reset(socket);
-        for (String request : List.of(SidecarHarness.look("a"),
+        for (String request : List.of(SidecarHarness.safeRequest("a"),
                 SidecarHarness.post("hold", "Idempotency-Key: 1\r\n", "b"))) {
             try (FakeUpstream one = new FakeUpstream(script); FakeUpstream two = new FakeUpstream(script);
                     SidecarHarness harness = SidecarHarness.with(one, two)) {
-                assertEquals(503, harness.ask(request).status(), "all tried, and a retry is harmless");
+                assertEquals(503, harness.exchange(request).status(), "all tried, and a retry is harmless");
                 assertEquals(1, one.heads.size());
                 assertEquals(1, two.heads.size());
             }
@@ -159,7 +162,7 @@
                 FakeUpstream.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
         try (FakeUpstream one = new FakeUpstream(declines); FakeUpstream two = new FakeUpstream(declines);
                 SidecarHarness harness = SidecarHarness.with(one, two)) {
-            SidecarHarness.Answer answer = harness.ask(SidecarHarness.post("book", "", "b"));
+            SidecarHarness.Response answer = harness.exchange(SidecarHarness.post("book", "", "b"));
             assertEquals(503, answer.status());
             assertEquals("0.750", FakeUpstream.header(answer.head(), "Retry-After"),
                     "as long as the module says");
@@ -174,7 +177,7 @@
         try (FakeUpstream silent = new FakeUpstream((socket, head) -> true);
                 SidecarHarness harness = SidecarHarness.with(silent)) {
             try (SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
-                FakeUpstream.write(client.socket, SidecarHarness.look("a"));
+                FakeUpstream.write(client.socket, SidecarHarness.safeRequest("a"));
                 FakeUpstream.next(silent.heads);
             }
             FakeUpstream.next(silent.disconnects);
@@ -195,7 +198,7 @@
                 }
             }
             try (SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
-                assertEquals(200, client.ask(SidecarHarness.look("a")).status());
+                assertEquals(200, client.exchange(SidecarHarness.safeRequest("a")).status());
                 assertEquals(-1, client.socket.getInputStream().read(), "also after an answer");
             }
             assertEquals(1, upstream.heads.size(), "none of them reached an upstream");
@@ -209,7 +212,7 @@
                 SidecarHarness harness = SidecarHarness.with(silent)) {
             String shorter = SidecarHarness.post("book", "", "b")
                     .replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
-            assertEquals(502, harness.ask(shorter).status());
+            assertEquals(502, harness.exchange(shorter).status());
             FakeUpstream.next(silent.disconnects);
         }
     }
@@ -221,10 +224,10 @@
         try (FakeUpstream upstream = new FakeUpstream(echo);
                 SidecarHarness harness = SidecarHarness.with(upstream);
                 SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
-            FakeUpstream.write(client.socket, SidecarHarness.look("a") + SidecarHarness.look("b")
-                    + SidecarHarness.look("c"));
+            FakeUpstream.write(client.socket, SidecarHarness.safeRequest("a")
+                    + SidecarHarness.safeRequest("b") + SidecarHarness.safeRequest("c"));
             for (String id : List.of("a", "b", "c")) {
-                assertEquals(id, client.read().body());
+                assertEquals(id, client.readResponse().body());
             }
         }
     }
@@ -233,12 +236,12 @@
     @Test
     void idleConnectionIsRetired() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
-            ObjectNode json = SidecarHarness.json(upstream);
+            ObjectNode json = SidecarHarness.configJson(upstream);
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
             try (SidecarHarness harness = new SidecarHarness(json)) {
-                assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
+                assertEquals(200, harness.exchange(SidecarHarness.safeRequest("a")).status());
                 FakeUpstream.next(upstream.disconnects);
-                assertEquals(200, harness.ask(SidecarHarness.look("b")).status());
+                assertEquals(200, harness.exchange(SidecarHarness.safeRequest("b")).status());
             }
         }
     }
@@ -257,7 +260,7 @@
         try (FakeUpstream upstream = new FakeUpstream(counting);
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, harness.ask(SidecarHarness.look("a" + i)).status());
+                assertEquals(200, harness.exchange(SidecarHarness.safeRequest("a" + i)).status());
                 Thread.sleep(UpstreamClient.MIN_IDLE_BEFORE_REUSE_MS);
             }
             assertEquals(1, connections.getCount(), "one connection for all five");
@@ -278,7 +281,7 @@
         try (FakeUpstream drained = FakeUpstream.serving("x");
                 FakeUpstream other = FakeUpstream.serving("y")) {
             String line = "{\"rev\":42,\"all\":false,\"targets\":["
-                    + SidecarHarness.target("s-0", drained.endpoint(), "DRAINING") + "]}\n";
+                    + SidecarHarness.listEntry("s-0", drained.endpoint(), "DRAINING") + "]}\n";
             try (FakeUpstream discovery = new FakeUpstream((socket, head) -> {
                 FakeUpstream.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
@@ -291,17 +294,18 @@
                 }
                 return false;
             })) {
-                ObjectNode json = SidecarHarness.json(drained, other).put("discovery", discovery.endpoint());
+                ObjectNode json = SidecarHarness.configJson(drained, other)
+                        .put("discovery", discovery.endpoint());
                 json.withObject("/settings").put("discovery", how);
                 try (SidecarHarness harness = new SidecarHarness(json)) {
                     while (drained.heads.isEmpty()) {
-                        assertEquals(200, harness.ask(SidecarHarness.look("a")).status());
+                        assertEquals(200, harness.exchange(SidecarHarness.safeRequest("a")).status());
                     }
                     go.countDown();
                     FakeUpstream.next(drained.disconnects);
                     int before = drained.heads.size();
                     for (int i = 0; i < 6; i++) {
-                        assertEquals("y", harness.ask(SidecarHarness.look("b" + i)).body());
+                        assertEquals("y", harness.exchange(SidecarHarness.safeRequest("b" + i)).body());
                     }
                     assertEquals(before, drained.heads.size());
                     assertTrue(FakeUpstream.next(discovery.heads).contains("from=41 "));
@@ -317,7 +321,7 @@
     void listsOfAThousandAndMoreAreRead() throws Exception {
         int many = 1_024;
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
-            ObjectNode json = SidecarHarness.json();
+            ObjectNode json = SidecarHarness.configJson();
             ArrayNode targets = json.withObject("/known").withArray("/targets");
             ArrayNode zones = json.withObject("/settings").putArray("zones");
             ArrayNode kinds = json.withObject("/settings").putArray("kinds");
@@ -328,14 +332,14 @@
                 kinds.add("kind-" + i);
                 tenants.addObject().put("name", "tenant-" + i).put("portion", 1.0 / many).put("quotaRps", 10);
                 peers.add("127.9." + i / 250 + "." + (1 + i % 250) + ":7946");
-                targets.add(SidecarHarness.target("s-" + i, upstream.endpoint(), "SERVING")
+                targets.add(SidecarHarness.listEntry("s-" + i, upstream.endpoint(), "SERVING")
                         .put("az", "zone-" + i).put("model", "kind-" + i).put("pod_group", i));
             }
             try (SidecarHarness harness = new SidecarHarness(json);
                     SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
                 for (int i = 0; i < many; i++) {
-                    String request = SidecarHarness.look("r" + i).replace("acme", "tenant-" + i);
-                    assertEquals(200, client.ask(request).status(), request);
+                    String request = SidecarHarness.safeRequest("r" + i).replace("acme", "tenant-" + i);
+                    assertEquals(200, client.exchange(request).status(), request);
                 }
             }
             assertEquals(many, upstream.heads.size());
@@ -357,19 +361,20 @@
                 SidecarHarness harness = SidecarHarness.with(upstream);
                 SidecarHarness.Client busy = new SidecarHarness.Client(harness.address);
                 SidecarHarness.Client idle = new SidecarHarness.Client(harness.address)) {
-            assertEquals(404, idle.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            FakeUpstream.write(busy.socket, SidecarHarness.look("a"));
+            assertEquals(404, idle.exchange("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            FakeUpstream.write(busy.socket, SidecarHarness.safeRequest("a"));
             FakeUpstream.next(upstream.heads);
             harness.loop.submit(harness.frontend::drain).sync();
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is ended");
-            SidecarHarness.Answer meanwhile = harness.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n");
+            SidecarHarness.Response meanwhile = harness.exchange("GET /none HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(404, meanwhile.status(), "and its client still gets in");
             assertEquals("close", FakeUpstream.header(meanwhile.head(), "Connection"));
             harness.loop.submit(harness.frontend::closeIdleConnections).sync();
-            assertEquals(404, harness.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status(), "to the end");
+            assertEquals(404, harness.exchange("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status(),
+                    "to the end");
             assertFalse(harness.loop.submit(harness.frontend::hasNoConnections).get());
             go.countDown();
-            SidecarHarness.Answer answer = busy.read();
+            SidecarHarness.Response answer = busy.readResponse();
             assertEquals("late", answer.body());
             assertEquals("close", FakeUpstream.header(answer.head(), "Connection"));
             assertEquals(-1, busy.socket.getInputStream().read());
@@ -386,7 +391,7 @@
                 Thread.onSpinWait();
             }
             harness.loop.submit(harness.frontend::drain).sync();
-            SidecarHarness.Answer answer = fresh.ask(SidecarHarness.look("a"));
+            SidecarHarness.Response answer = fresh.exchange(SidecarHarness.safeRequest("a"));
             assertEquals("x", answer.body());
             assertEquals("close", FakeUpstream.header(answer.head(), "Connection"));
         }
@@ -402,11 +407,11 @@
             while (harness.loop.submit(harness.frontend::hasNoConnections).get()) {
                 Thread.onSpinWait();
             }
-            harness.stall(go);
-            FakeUpstream.write(fresh.socket, SidecarHarness.look("a"));
+            harness.stallLoop(go);
+            FakeUpstream.write(fresh.socket, SidecarHarness.safeRequest("a"));
             Thread.sleep(ClientConnection.FIRST_REQUEST_MS + 100);
             go.countDown();
-            assertEquals("x", fresh.read().body());
+            assertEquals("x", fresh.readResponse().body());
         }
     }
 
@@ -416,15 +421,15 @@
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream);
                 SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
-            assertEquals(200, client.ask(SidecarHarness.look("a")).status());
+            assertEquals(200, client.exchange(SidecarHarness.safeRequest("a")).status());
             int whole = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
                     "Req-Deadline-Ms"));
             CountDownLatch go = new CountDownLatch(1);
-            harness.stall(go);
-            FakeUpstream.write(client.socket, SidecarHarness.look("b"));
+            harness.stallLoop(go);
+            FakeUpstream.write(client.socket, SidecarHarness.safeRequest("b"));
             Thread.sleep(1_000);
             go.countDown();
-            assertEquals(200, client.read().status());
+            assertEquals(200, client.readResponse().status());
             int left = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
                     "Req-Deadline-Ms"));
             assertTrue(left <= whole - 950, left + " of " + whole + " ms told behind a stall of 1,000 ms");
--- a/src/test/java/pondridge/sidecar/StalledRequestTest.java
+++ b/src/test/java/pondridge/sidecar/StalledRequestTest.java
@@ -14,23 +14,23 @@
     @Test
     void requestUnreadDuringAStallIsNotTakenForAClientRetry() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
-            ObjectNode json = SidecarHarness.json(upstream);
+            ObjectNode json = SidecarHarness.configJson(upstream);
             // Requests come with half of their class's deadline. For a client retry the other half counts as
             // elapsed, which is longer than the latency target.
             ((ObjectNode) json.at("/settings/profiles/0")).put("slo", 5_000_000_000L);
-            String request = SidecarHarness.look("a")
+            String request = SidecarHarness.safeRequest("a")
                     .replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 10000");
             try (SidecarHarness harness = new SidecarHarness(json);
                     SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
                 for (int i = 0; i < 5; i++) {
-                    assertEquals(200, client.ask(request).status());
+                    assertEquals(200, client.exchange(request).status());
                 }
                 CountDownLatch resume = new CountDownLatch(1);
-                harness.stall(resume);
+                harness.stallLoop(resume);
                 FakeUpstream.write(client.socket, request);
                 Thread.sleep(300);
                 resume.countDown();
-                assertEquals(200, client.read().status());
+                assertEquals(200, client.readResponse().status());
             }
         }
     }
--- a/src/test/java/pondridge/sidecar/WarmUpTest.java
+++ b/src/test/java/pondridge/sidecar/WarmUpTest.java
@@ -34,7 +34,7 @@
     @Test
     void callsOnDoneIfTheFrontendDoesNotRespond() throws Exception {
         try (FakeUpstream closing = new FakeUpstream((socket, head) -> false)) {
-            run(Config.of(SidecarHarness.json()).settingsReader(), closing.address(),
+            run(Config.of(SidecarHarness.configJson()).settingsReader(), closing.address(),
                     () -> results.add("done"));
             assertEquals("done", FakeUpstream.next(results));
         }
@@ -47,7 +47,7 @@
             run(new SettingsReader(""), frontend.address(), () -> results.add("done"));
             String result = FakeUpstream.next(results);
             assertTrue(result.startsWith("failed: ") && result.contains("profiles.count"), result);
-            run(Config.of(SidecarHarness.json()).settingsReader(), frontend.address(), () -> {
+            run(Config.of(SidecarHarness.configJson()).settingsReader(), frontend.address(), () -> {
                 throw new IllegalStateException("not ready");
             });
             result = FakeUpstream.next(results);
