--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -11,34 +11,35 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The whole sidecar between a client and upstreams on loopback. */
+/** Runs a whole sidecar between clients and fake upstreams on loopback. */
 class SidecarTest {
 
     @Test
-    void requestAndAnswerGoOnUnchanged() throws Exception {
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("{\"parts\":7}");
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
-            SidecarHarness.Response answer = harness.exchange(SidecarHarness.post("hold",
+            SidecarHarness.Response response = harness.exchange(SidecarHarness.post("hold",
                     "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
-            assertEquals(200, answer.status());
-            assertEquals("{\"parts\":7}", answer.body());
-            assertEquals("text/x-part", FakeUpstream.header(answer.head(), "Content-Type"));
+            assertEquals(200, response.status());
+            assertEquals("{\"parts\":7}", response.body());
+            assertEquals("text/x-part", FakeUpstream.header(response.head(), "Content-Type"));
             String head = FakeUpstream.next(upstream.heads);
             assertTrue(head.startsWith("POST /api/7f3a HTTP/1.1\r\n"), head);
             assertEquals("9b1f", FakeUpstream.header(head, "Req-Id"));
             assertEquals("5c0f", FakeUpstream.header(head, "Idempotency-Key"));
             assertEquals("t1", FakeUpstream.header(head, "X-Trace"));
-            int wait = Integer.parseInt(FakeUpstream.header(head, "Req-Deadline-Ms"));
-            assertTrue(wait > 0 && wait < SidecarHarness.DEADLINE_MS, "room for the way back: " + wait);
+            int deadlineMs = Integer.parseInt(FakeUpstream.header(head, "Req-Deadline-Ms"));
+            assertTrue(deadlineMs > 0 && deadlineMs < SidecarHarness.DEADLINE_MS,
+                    "time is reserved for the response: " + deadlineMs);
             assertEquals("two", FakeUpstream.next(upstream.bodies));
             assertEquals(200, harness.exchange(SidecarHarness.safeRequest("a")).status());
             assertTrue(FakeUpstream.next(upstream.heads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
 
-    /** The largest body that the protocol allows, both ways; one byte more is refused below. */
+    /** The largest body that the protocol allows, in both directions; the next test sends one byte more. */
     @Test
-    void largestBodiesGoThrough() throws Exception {
+    void largestBodiesAreForwarded() throws Exception {
         String body = "x".repeat(1 << 16);
         try (FakeUpstream upstream = FakeUpstream.serving(body);
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
@@ -47,12 +48,12 @@
         }
     }
 
-    /** A request in no known form must not reach an upstream: there it would void more than itself. */
+    /** A malformed request must not reach an upstream, where it would affect more than itself. */
     @Test
-    void malformedRequestsAreToldSoAndGoNowhere() throws Exception {
+    void malformedRequestsGetAnErrorAndAreNotForwarded() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
-            for (String bad : List.of(
+            for (String request : List.of(
                     "NONSENSE\r\n\r\n",
                     SidecarHarness.safeRequest("a").replace("Req-Id: a\r\n", ""),
                     SidecarHarness.safeRequest("a").replace("look", "glance"),
@@ -65,7 +66,7 @@
                     SidecarHarness.safeRequest("a").replace("GET", "PUT"),
                     SidecarHarness.post("hold", "", "x"),
                     SidecarHarness.post("book", "Idempotency-Key: 1\r\n", "x"))) {
-                assertEquals(400, harness.exchange(bad).status(), bad);
+                assertEquals(400, harness.exchange(request).status(), request);
             }
             assertEquals(404, harness.exchange(SidecarHarness.safeRequest("a").replace("/api/", "/other/"))
                     .status());
@@ -73,107 +74,111 @@
                     .status());
             assertEquals(200, harness.exchange(SidecarHarness.safeRequest("good")).status());
             assertEquals("good", FakeUpstream.header(FakeUpstream.next(upstream.heads), "Req-Id"));
-            assertNull(upstream.heads.poll(), "no other request came this far");
+            assertNull(upstream.heads.poll(), "no other request reached the upstream");
         }
     }
 
-    /** A refused connection proves that nothing ran, so that even an unsafe request may go elsewhere. */
+    /** A refused connection proves that nothing ran, so that even an unsafe request may be sent elsewhere. */
     @Test
-    void unsafeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
-        try (FakeUpstream gone = FakeUpstream.serving("x"); FakeUpstream upstream = FakeUpstream.serving("y");
-                SidecarHarness harness = SidecarHarness.with(gone, upstream)) {
-            gone.stop();
+    void unsafeRequestIsSentToAnotherUpstreamAfterAFailedConnect() throws Exception {
+        try (FakeUpstream stopped = FakeUpstream.serving("x");
+                FakeUpstream upstream = FakeUpstream.serving("y");
+                SidecarHarness harness = SidecarHarness.with(stopped, upstream)) {
+            stopped.stop();
             for (int i = 0; i < 4; i++) {
                 assertEquals("y", harness.exchange(SidecarHarness.post("book", "", "b" + i)).body());
-                assertEquals("b" + i, FakeUpstream.next(upstream.bodies), "each once");
+                assertEquals("b" + i, FakeUpstream.next(upstream.bodies), "each sent once");
             }
             assertNull(upstream.bodies.poll());
         }
     }
 
-    /** Once written whole, an unsafe request may have run: a break then fails it and sends nothing more. */
+    /** An unsafe request that was written whole may have run: an error fails it without a new attempt. */
     @Test
-    void unsafeRequestIsNotSentAgainAfterAReset() throws Exception {
-        for (String how : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
+    void unsafeRequestIsNotSentAgainOnceItMayHaveRun() throws Exception {
+        for (String failure : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
             FakeUpstream.Script script = (socket, head) -> {
-                if (how.startsWith("5")) {
-                    return FakeUpstream.reply(socket, how, "", "");
+                if (failure.startsWith("5")) {
+                    return FakeUpstream.reply(socket, failure, "", "");
                 }
-                if (how.equals("cut short")) {
+                if (failure.equals("cut short")) {
                     FakeUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-                } else if (how.equals("nonsense")) {
+                } else if (failure.equals("nonsense")) {
                     FakeUpstream.write(socket, "what is this\r\n\r\n");
                 }
-                return how.equals("reset") && FakeUpstream.reset(socket);
+                return failure.equals("reset") && FakeUpstream.reset(socket);
             };
-            try (FakeUpstream one = new FakeUpstream(script); FakeUpstream two = new FakeUpstream(script);
-                    SidecarHarness harness = SidecarHarness.with(one, two)) {
-                assertEquals(502, harness.exchange(SidecarHarness.post("book", "", "b")).status(), how);
-                assertEquals(1, one.heads.size() + two.heads.size(), how);
+            try (FakeUpstream first = new FakeUpstream(script);
+                    FakeUpstream second = new FakeUpstream(script);
+                    SidecarHarness harness = SidecarHarness.with(first, second)) {
+                assertEquals(502, harness.exchange(SidecarHarness.post("book", "", "b")).status(), failure);
+                assertEquals(1, first.heads.size() + second.heads.size(), failure);
             }
         }
     }
 
-    /** What can't be read may have run, and its body is no answer, however whole it looks. */
+    /** A response with an unreadable head is an error even if its body is whole; its request may have run. */
     @Test
-    void unreadableAnswerIsNotServed() throws Exception {
-        for (String bad : List.of("HTTP/1.1 200 OK\r\nno colon here\r\n", "HTTP/1.1 200 OK\r\nno \t\r\n",
+    void unreadableResponseIsNotForwarded() throws Exception {
+        for (String head : List.of("HTTP/1.1 200 OK\r\nno colon here\r\n", "HTTP/1.1 200 OK\r\nno \t\r\n",
                 "HTTP/1.1 200 OK\r\nnone\r\n", "HTTP/1.1 200 OK\r\nno colon: here\r\n",
                 "HTTP/1.1 200 OK\r\n: nameless\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n")) {
-            FakeUpstream.Script garbles = (socket, head) -> {
-                FakeUpstream.write(socket, bad + "Content-Length: 1\r\n\r\nx");
+            FakeUpstream.Script garbled = (socket, request) -> {
+                FakeUpstream.write(socket, head + "Content-Length: 1\r\n\r\nx");
                 return true;
             };
-            try (FakeUpstream upstream = new FakeUpstream(garbles);
+            try (FakeUpstream upstream = new FakeUpstream(garbled);
                     SidecarHarness harness = SidecarHarness.with(upstream)) {
-                assertEquals(502, harness.exchange(SidecarHarness.post("book", "", "b")).status(), bad);
+                assertEquals(502, harness.exchange(SidecarHarness.post("book", "", "b")).status(), head);
                 FakeUpstream.next(upstream.disconnects);
             }
         }
-        FakeUpstream.Script odd = (socket, head) ->
+        FakeUpstream.Script unusual = (socket, request) ->
                 FakeUpstream.reply(socket, "200 OK", "Empty:\r\nBlank : b\r\n", "x");
-        try (FakeUpstream upstream = new FakeUpstream(odd);
+        try (FakeUpstream upstream = new FakeUpstream(unusual);
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
             assertEquals("x", harness.exchange(SidecarHarness.post("book", "", "b")).body(),
-                    "odd, but readable");
+                    "unusual, but readable");
         }
     }
 
-    /** A repeat is harmless for a safe request and for one whose key the upstreams know. */
+    /** Another attempt is harmless for a safe request and for one with an idempotency key. */
     @Test
     void safeAndKeyedRequestsAreSentAgainAfterAReset() throws Exception {
         FakeUpstream.Script script = (socket, head) -> FakeUpstream.reset(socket);
         for (String request : List.of(SidecarHarness.safeRequest("a"),
                 SidecarHarness.post("hold", "Idempotency-Key: 1\r\n", "b"))) {
-            try (FakeUpstream one = new FakeUpstream(script); FakeUpstream two = new FakeUpstream(script);
-                    SidecarHarness harness = SidecarHarness.with(one, two)) {
-                assertEquals(503, harness.exchange(request).status(), "all tried, and a retry is harmless");
-                assertEquals(1, one.heads.size());
-                assertEquals(1, two.heads.size());
+            try (FakeUpstream first = new FakeUpstream(script);
+                    FakeUpstream second = new FakeUpstream(script);
+                    SidecarHarness harness = SidecarHarness.with(first, second)) {
+                assertEquals(503, harness.exchange(request).status(), "refused after an attempt at each");
+                assertEquals(1, first.heads.size());
+                assertEquals(1, second.heads.size());
             }
         }
     }
 
-    /** Srv-Declined proves that nothing ran; without that header a 503 proves nothing (tested above). */
+    /** Srv-Declined proves that nothing ran; a 503 without that header proves nothing (tested above). */
     @Test
-    void declinedUnsafeRequestGoesElsewhere() throws Exception {
-        FakeUpstream.Script declines = (socket, head) ->
+    void rejectedUnsafeRequestIsSentToAnotherUpstream() throws Exception {
+        FakeUpstream.Script rejecting = (socket, head) ->
                 FakeUpstream.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-        try (FakeUpstream one = new FakeUpstream(declines); FakeUpstream two = new FakeUpstream(declines);
-                SidecarHarness harness = SidecarHarness.with(one, two)) {
-            SidecarHarness.Response answer = harness.exchange(SidecarHarness.post("book", "", "b"));
-            assertEquals(503, answer.status());
-            assertEquals("0.750", FakeUpstream.header(answer.head(), "Retry-After"),
-                    "as long as the module says");
-            assertEquals(1, one.heads.size());
-            assertEquals(1, two.heads.size());
+        try (FakeUpstream first = new FakeUpstream(rejecting);
+                FakeUpstream second = new FakeUpstream(rejecting);
+                SidecarHarness harness = SidecarHarness.with(first, second)) {
+            SidecarHarness.Response response = harness.exchange(SidecarHarness.post("book", "", "b"));
+            assertEquals(503, response.status());
+            assertEquals("0.750", FakeUpstream.header(response.head(), "Retry-After"),
+                    "the time that the balancer gives");
+            assertEquals(1, first.heads.size());
+            assertEquals(1, second.heads.size());
         }
     }
 
-    /** A client that leaves takes its attempt with it: its connection must close, not be used again. */
+    /** When a client disconnects, its attempt's connection must be closed, not used again. */
     @Test
-    void hangUpClosesTheAttemptsConnection() throws Exception {
+    void clientDisconnectClosesTheAttemptsConnection() throws Exception {
         try (FakeUpstream silent = new FakeUpstream((socket, head) -> true);
                 SidecarHarness harness = SidecarHarness.with(silent)) {
             try (SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
@@ -184,41 +189,41 @@
         }
     }
 
-    /** Connections are few: peers that send nothing, or no end of a request, must not hold them for good. */
+    /** Connections are limited: clients that send nothing or only part of a request must not keep them. */
     @Test
-    void peersThatSendNoWholeRequestAreClosed() throws Exception {
+    void clientsThatSendNoWholeRequestAreDisconnected() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream)) {
             List<String> starts = List.of("", "GET /api/7f3a HTTP/1.1\r\nHost:",
                     SidecarHarness.post("book", "", "body").replace("body", "b"));
             for (String start : starts) {
-                try (SidecarHarness.Client peer = new SidecarHarness.Client(harness.address)) {
-                    FakeUpstream.write(peer.socket, start);
-                    assertEquals(-1, peer.socket.getInputStream().read(), "a close: " + start);
+                try (SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
+                    FakeUpstream.write(client.socket, start);
+                    assertEquals(-1, client.socket.getInputStream().read(), "closed after: " + start);
                 }
             }
             try (SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
                 assertEquals(200, client.exchange(SidecarHarness.safeRequest("a")).status());
-                assertEquals(-1, client.socket.getInputStream().read(), "also after an answer");
+                assertEquals(-1, client.socket.getInputStream().read(), "also closed after a response");
             }
             assertEquals(1, upstream.heads.size(), "none of them reached an upstream");
         }
     }
 
-    /** Silent upstreams must not cost the client its answer: it comes while the client still waits. */
+    /** If the upstream does not respond, the client gets a response of the sidecar before its deadline. */
     @Test
-    void silenceIsAnsweredBeforeTheClientsDeadline() throws Exception {
+    void requestToASilentUpstreamFailsBeforeItsDeadline() throws Exception {
         try (FakeUpstream silent = new FakeUpstream((socket, head) -> true);
                 SidecarHarness harness = SidecarHarness.with(silent)) {
-            String shorter = SidecarHarness.post("book", "", "b")
+            String request = SidecarHarness.post("book", "", "b")
                     .replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
-            assertEquals(502, harness.exchange(shorter).status());
+            assertEquals(502, harness.exchange(request).status());
             FakeUpstream.next(silent.disconnects);
         }
     }
 
     @Test
-    void requestsAheadOfTheirTurnAreAnsweredInOrder() throws Exception {
+    void pipelinedRequestsGetTheirResponsesInOrder() throws Exception {
         FakeUpstream.Script echo = (socket, head) ->
                 FakeUpstream.reply(socket, "200 OK", "", FakeUpstream.header(head, "Req-Id"));
         try (FakeUpstream upstream = new FakeUpstream(echo);
@@ -232,9 +237,12 @@
         }
     }
 
-    /** A stale connection turns requests into resets: it is retired before the upstream's own idle time. */
+    /**
+     * An upstream closes idle connections, and a request sent on such a connection gets a reset. The sidecar
+     * closes its connections before that time.
+     */
     @Test
-    void idleConnectionIsRetired() throws Exception {
+    void idleUpstreamConnectionIsClosed() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
             ObjectNode json = SidecarHarness.configJson(upstream);
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
@@ -247,12 +255,12 @@
     }
 
     @Test
-    void connectionIsKeptAndUsedAgain() throws Exception {
+    void upstreamConnectionIsReused() throws Exception {
         CountDownLatch connections = new CountDownLatch(2);
-        ThreadLocal<Boolean> first = ThreadLocal.withInitial(() -> true);
+        ThreadLocal<Boolean> firstRequest = ThreadLocal.withInitial(() -> true);
         FakeUpstream.Script counting = (socket, head) -> {
-            if (first.get()) {
-                first.set(false);
+            if (firstRequest.get()) {
+                firstRequest.set(false);
                 connections.countDown();
             }
             return FakeUpstream.reply(socket, "200 OK", "", "x");
@@ -267,25 +275,25 @@
         }
     }
 
-    /** From watch to sends: a drain that is told ends new work there, and a broken watch is renewed. */
+    /** Once the watch reports a draining upstream, it gets no more requests; a watch that ends is renewed. */
     @Test
-    void toldDrainIsKeptAndABrokenWatchRenewed() throws Exception {
-        for (String how : List.of("automatic", "subscribe")) {
-            drainIsKeptAndWatchRenewed(how);
+    void drainingUpstreamGetsNoRequestsAndAnEndedWatchIsRenewed() throws Exception {
+        for (String discoveryMode : List.of("automatic", "subscribe")) {
+            checkDrainAndWatch(discoveryMode);
         }
     }
 
-    /** Unprompted or asked for, on the socket it is one and the same watch. */
-    private static void drainIsKeptAndWatchRenewed(String how) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (FakeUpstream drained = FakeUpstream.serving("x");
+    /** Both discovery modes lead to the same watch on the socket. */
+    private static void checkDrainAndWatch(String discoveryMode) throws Exception {
+        CountDownLatch update = new CountDownLatch(1);
+        try (FakeUpstream draining = FakeUpstream.serving("x");
                 FakeUpstream other = FakeUpstream.serving("y")) {
             String line = "{\"rev\":42,\"all\":false,\"targets\":["
-                    + SidecarHarness.listEntry("s-0", drained.endpoint(), "DRAINING") + "]}\n";
+                    + SidecarHarness.listEntry("s-0", draining.endpoint(), "DRAINING") + "]}\n";
             try (FakeUpstream discovery = new FakeUpstream((socket, head) -> {
                 FakeUpstream.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
-                    go.await();
+                    update.await();
                 } catch (InterruptedException e) {
                     return false;
                 }
@@ -294,70 +302,71 @@
                 }
                 return false;
             })) {
-                ObjectNode json = SidecarHarness.configJson(drained, other)
+                ObjectNode json = SidecarHarness.configJson(draining, other)
                         .put("discovery", discovery.endpoint());
-                json.withObject("/settings").put("discovery", how);
+                json.withObject("/settings").put("discovery", discoveryMode);
                 try (SidecarHarness harness = new SidecarHarness(json)) {
-                    while (drained.heads.isEmpty()) {
+                    while (draining.heads.isEmpty()) {
                         assertEquals(200, harness.exchange(SidecarHarness.safeRequest("a")).status());
                     }
-                    go.countDown();
-                    FakeUpstream.next(drained.disconnects);
-                    int before = drained.heads.size();
+                    update.countDown();
+                    FakeUpstream.next(draining.disconnects);
+                    int sentBefore = draining.heads.size();
                     for (int i = 0; i < 6; i++) {
                         assertEquals("y", harness.exchange(SidecarHarness.safeRequest("b" + i)).body());
                     }
-                    assertEquals(before, drained.heads.size());
+                    assertEquals(sentBefore, draining.heads.size());
                     assertTrue(FakeUpstream.next(discovery.heads).contains("from=41 "));
                     assertTrue(FakeUpstream.next(discovery.heads).contains("from=42 "),
-                            "where the first one ended");
+                            "the second watch begins at the last revision");
                 }
             }
         }
     }
 
-    /** No list that is read has a cap below 1,024 entries; the last of each is as good as the first. */
+    /** No list in the configuration has a limit below 1,024 entries: the last entry of each is used, too. */
     @Test
-    void listsOfAThousandAndMoreAreRead() throws Exception {
-        int many = 1_024;
+    void listsOf1024EntriesAreRead() throws Exception {
+        int count = 1_024;
         try (FakeUpstream upstream = FakeUpstream.serving("x")) {
             ObjectNode json = SidecarHarness.configJson();
             ArrayNode targets = json.withObject("/known").withArray("/targets");
             ArrayNode zones = json.withObject("/settings").putArray("zones");
-            ArrayNode kinds = json.withObject("/settings").putArray("kinds");
+            ArrayNode models = json.withObject("/settings").putArray("kinds");
             ArrayNode tenants = json.withObject("/settings").putArray("parties");
             ArrayNode peers = json.putArray("peers");
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < count; i++) {
                 zones.add("zone-" + i);
-                kinds.add("kind-" + i);
-                tenants.addObject().put("name", "tenant-" + i).put("portion", 1.0 / many).put("quotaRps", 10);
+                models.add("kind-" + i);
+                tenants.addObject().put("name", "tenant-" + i).put("portion", 1.0 / count)
+                        .put("quotaRps", 10);
                 peers.add("127.9." + i / 250 + "." + (1 + i % 250) + ":7946");
                 targets.add(SidecarHarness.listEntry("s-" + i, upstream.endpoint(), "SERVING")
                         .put("az", "zone-" + i).put("model", "kind-" + i).put("pod_group", i));
             }
             try (SidecarHarness harness = new SidecarHarness(json);
                     SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
-                for (int i = 0; i < many; i++) {
+                for (int i = 0; i < count; i++) {
                     String request = SidecarHarness.safeRequest("r" + i).replace("acme", "tenant-" + i);
                     assertEquals(200, client.exchange(request).status(), request);
                 }
             }
-            assertEquals(many, upstream.heads.size());
+            assertEquals(count, upstream.heads.size());
         }
     }
 
     @Test
-    void drainingSidecarAnswersWhatItHoldsAndEndsItsConnections() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeUpstream.Script held = (socket, head) -> {
+    void drainingSidecarRespondsToOpenRequestsAndClosesItsConnections() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeUpstream.Script waiting = (socket, head) -> {
             try {
-                go.await();
+                release.await();
             } catch (InterruptedException e) {
                 return false;
             }
             return FakeUpstream.reply(socket, "200 OK", "", "late");
         };
-        try (FakeUpstream upstream = new FakeUpstream(held);
+        try (FakeUpstream upstream = new FakeUpstream(waiting);
                 SidecarHarness harness = SidecarHarness.with(upstream);
                 SidecarHarness.Client busy = new SidecarHarness.Client(harness.address);
                 SidecarHarness.Client idle = new SidecarHarness.Client(harness.address)) {
@@ -365,74 +374,75 @@
             FakeUpstream.write(busy.socket, SidecarHarness.safeRequest("a"));
             FakeUpstream.next(upstream.heads);
             harness.loop.submit(harness.frontend::drain).sync();
-            assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is ended");
-            SidecarHarness.Response meanwhile = harness.exchange("GET /none HTTP/1.1\r\nHost: a\r\n\r\n");
-            assertEquals(404, meanwhile.status(), "and its client still gets in");
-            assertEquals("close", FakeUpstream.header(meanwhile.head(), "Connection"));
+            assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
+            SidecarHarness.Response whileDraining = harness.exchange("GET /none HTTP/1.1\r\nHost: a\r\n\r\n");
+            assertEquals(404, whileDraining.status(), "its client can still connect");
+            assertEquals("close", FakeUpstream.header(whileDraining.head(), "Connection"));
             harness.loop.submit(harness.frontend::closeIdleConnections).sync();
             assertEquals(404, harness.exchange("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").status(),
-                    "to the end");
+                    "and can until the process exits");
             assertFalse(harness.loop.submit(harness.frontend::hasNoConnections).get());
-            go.countDown();
-            SidecarHarness.Response answer = busy.readResponse();
-            assertEquals("late", answer.body());
-            assertEquals("close", FakeUpstream.header(answer.head(), "Connection"));
+            release.countDown();
+            SidecarHarness.Response response = busy.readResponse();
+            assertEquals("late", response.body());
+            assertEquals("close", FakeUpstream.header(response.head(), "Connection"));
             assertEquals(-1, busy.socket.getInputStream().read());
         }
     }
 
-    /** A client on a new connection may have written already; closed upon, its request would be lost. */
+    /** A client on a new connection may already have written its request, which a close would lose. */
     @Test
-    void firstRequestOnANewConnectionIsAnsweredWhileDraining() throws Exception {
+    void firstRequestOnANewConnectionIsServedWhileDraining() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream);
-                SidecarHarness.Client fresh = new SidecarHarness.Client(harness.address)) {
+                SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
             while (harness.loop.submit(harness.frontend::hasNoConnections).get()) {
                 Thread.onSpinWait();
             }
             harness.loop.submit(harness.frontend::drain).sync();
-            SidecarHarness.Response answer = fresh.exchange(SidecarHarness.safeRequest("a"));
-            assertEquals("x", answer.body());
-            assertEquals("close", FakeUpstream.header(answer.head(), "Connection"));
+            SidecarHarness.Response response = client.exchange(SidecarHarness.safeRequest("a"));
+            assertEquals("x", response.body());
+            assertEquals("close", FakeUpstream.header(response.head(), "Connection"));
         }
     }
 
-    /** What has come whole while the loop was busy is read before anybody's patience ends. */
+    /** A whole request that arrived during a stall must be read before the read time-out is applied. */
     @Test
-    void requestThatAStallKeptUnreadIsAnswered() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void requestReceivedDuringAStallIsServed() throws Exception {
+        CountDownLatch resume = new CountDownLatch(1);
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream);
-                SidecarHarness.Client fresh = new SidecarHarness.Client(harness.address)) {
+                SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
             while (harness.loop.submit(harness.frontend::hasNoConnections).get()) {
                 Thread.onSpinWait();
             }
-            harness.stallLoop(go);
-            FakeUpstream.write(fresh.socket, SidecarHarness.safeRequest("a"));
+            harness.stallLoop(resume);
+            FakeUpstream.write(client.socket, SidecarHarness.safeRequest("a"));
             Thread.sleep(ClientConnection.FIRST_REQUEST_MS + 100);
-            go.countDown();
-            assertEquals("x", fresh.readResponse().body());
+            resume.countDown();
+            assertEquals("x", client.readResponse().body());
         }
     }
 
-    /** What had lain unread behind a stall was sent on with all of its time. */
+    /** A request that had lain unread during a stall was forwarded with the whole of its deadline. */
     @Test
-    void upstreamsWereToldTheTimeThatAStallHadTaken() throws Exception {
+    void stallIsDeductedFromTheForwardedDeadline() throws Exception {
         try (FakeUpstream upstream = FakeUpstream.serving("x");
                 SidecarHarness harness = SidecarHarness.with(upstream);
                 SidecarHarness.Client client = new SidecarHarness.Client(harness.address)) {
             assertEquals(200, client.exchange(SidecarHarness.safeRequest("a")).status());
-            int whole = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
+            int fullMs = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
                     "Req-Deadline-Ms"));
-            CountDownLatch go = new CountDownLatch(1);
-            harness.stallLoop(go);
+            CountDownLatch resume = new CountDownLatch(1);
+            harness.stallLoop(resume);
             FakeUpstream.write(client.socket, SidecarHarness.safeRequest("b"));
             Thread.sleep(1_000);
-            go.countDown();
+            resume.countDown();
             assertEquals(200, client.readResponse().status());
-            int left = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
+            int remainingMs = Integer.parseInt(FakeUpstream.header(FakeUpstream.next(upstream.heads),
                     "Req-Deadline-Ms"));
-            assertTrue(left <= whole - 950, left + " of " + whole + " ms told behind a stall of 1,000 ms");
+            assertTrue(remainingMs <= fullMs - 950,
+                    remainingMs + " of " + fullMs + " ms forwarded after a stall of 1,000 ms");
         }
     }
 }
