--- a/src/main/java/pondridge/sidecar/Acceptor.java
+++ b/src/main/java/pondridge/sidecar/Acceptor.java
@@ -27,11 +27,11 @@
         /**
          * Called for each accepted connection before it is registered; adds the connection's handlers.
          *
-         * @param acceptDelay for how many nanoseconds accepting has been failing, and so the longest that the
+         * @param acceptDelayNanos how long accepting has been failing, and so the longest time that the
          *     connection may have waited in the backlog
          * @return whether to keep the connection; otherwise it is closed
          */
-        boolean accepted(Channel connection, long acceptDelay);
+        boolean accepted(Channel connection, long acceptDelayNanos);
 
         /** Called when {@code accept} has failed; it is retried after a few milliseconds. */
         void acceptFailed();
--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -18,165 +18,199 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One client connection. Requests are answered one after the other in the order in which they were read. The
- * connection is read at all times, so that its end is seen: nothing is begun for a client that has gone.
+ * One client connection. Its requests are started one at a time, in the order in which they were read; the
+ * others wait in a queue. The connection is read all the time, so that a close by the client is noticed: no
+ * request is started for a client that has disconnected.
+ *
+ * <p>All methods run on the event loop. An exception closes the connection. Unless it is an I/O error or the
+ * client has closed the connection in the middle of a request, it is also reported to the guard.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest>
         implements RequestDispatcher.ClientCallback {
-    /** From connecting to a whole request, and from a request's first bytes to its last. */
-    static final long FIRST_REQUEST_MS = 2_200;
-    /** From an answer to the next request; longer than most clients pause. */
-    private static final long NEXT_REQUEST_MS = 5_000;
-    /** Time for one more look at the sockets before a connection is given up. */
-    private static final long LAST_LOOK_MS = 1;
-    /** A client that reads no answers and still sends so many requests is given up. */
-    private static final int MOST_QUEUED = 4_096;
-    /** Kept of a queued request's time for its answer's way back. */
-    private static final long ANSWER_ROOM_MS = 10;
-
-    /** The loop's usual turns; what lay unread for no longer has its whole time. */
-    private static final long SHORT_NS = 10_000_000;
-
-    /** A request that waits for its turn; without its message where it will be refused then. */
-    private record Queued(FullHttpRequest message, long readAt) { }
+    /** From connecting to the end of the first request, and from the first byte of a later one to its end. */
+    static final long REQUEST_READ_TIMEOUT_MS = 2_200;
+    /** From a response to the end of the next request; longer than most clients pause. */
+    private static final long IDLE_TIMEOUT_MS = 5_000;
+    /** Time for the event loop to read its sockets once more before a connection is closed. */
+    private static final long FINAL_READ_DELAY_MS = 1;
+    /** A client that has this many requests queued and sends another is disconnected. */
+    private static final int MAX_QUEUED_REQUESTS = 4_096;
+    /** Time kept for the way back of the response to a queued request. */
+    private static final long RESPONSE_MARGIN_MS = 10;
+
+    /** Usual iterations of the event loop are shorter. Time unread that is below this is not deducted. */
+    private static final long MIN_STALL_NANOS = 10_000_000;
+
+    /**
+     * A request that waits for the ones before it.
+     *
+     * @param message null if there was no memory for its body: the request is refused in its turn
+     * @param receivedAt the earliest time at which it may have arrived, of {@link System#nanoTime}
+     */
+    private record QueuedRequest(FullHttpRequest message, long receivedAt) { }
 
     private final Frontend frontend;
     private final RequestDispatcher dispatcher;
     private final Channel channel;
     private final RequestDecoder decoder;
-    private final boolean crowded;
-    private final long unaccepted;
-    private final ArrayDeque<Queued> queue = new ArrayDeque<>(1);
-    private boolean busy;
-    private boolean answered;
-    private boolean ending;
-    private boolean gone;
-    private boolean timesPartialRequest;
-    private boolean readBefore;
-    private boolean awaitsAnswer;
-    private int unwritten;
-    private long read;
-    private long taken;
-    private long rushedUntil;
-    private long restingSince;
+    private final boolean overLimit;
+    private final long acceptDelayNanos;
+    private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>(1);
+    /**
+     * Whether a request has been started, or is about to be, and has no response yet. Stays true after the
+     * last response, so that no further request is started.
+     */
+    private boolean requestInProgress;
+    /** Whether a response has been given on this connection. */
+    private boolean responded;
+    /** Whether the sidecar closes the connection, at once or after its last response. */
+    private boolean closing;
+    private boolean disconnected;
+    /** Whether {@link #readTimeout} runs for a request that has been received in part. */
+    private boolean partialRequestTimed;
+    private boolean firstReadComplete;
+    /** Whether a request has been submitted to the dispatcher and has no response yet. */
+    private boolean awaitingResponse;
+    private int unwrittenResponses;
+    /** How many requests have been read: the position of the latest one, counted from 1. */
+    private long requestsRead;
+    /** How many requests have been started: the position of the latest one. */
+    private long requestsStarted;
+    /** Requests before this position are aborted or refused, since the time of the one at it is up. */
+    private long abortBefore;
+    private long idleSince;
     private boolean keepAlive = true;
-    private long request;
-    private Future<?> patience;
+    /** The dispatcher's id of the request in progress; 0 if it has none. */
+    private long requestId;
+    private Future<?> readTimeout;
 
     /**
-     * @param crowded whether this connection is over the number that may stay: its request is refused
-     * @param unaccepted for how many nanoseconds the connection may have waited to be accepted
+     * @param overLimit whether this connection exceeds the limit, so that its requests are refused
+     * @param acceptDelayNanos for how many nanoseconds the connection may have waited to be accepted
      */
     ClientConnection(Frontend frontend, RequestDispatcher dispatcher, Channel channel, RequestDecoder decoder,
-            boolean crowded, long unaccepted) {
+            boolean overLimit, long acceptDelayNanos) {
         this.frontend = frontend;
         this.dispatcher = dispatcher;
         this.channel = channel;
         this.decoder = decoder;
-        this.crowded = crowded;
-        this.unaccepted = unaccepted;
+        this.overLimit = overLimit;
+        this.acceptDelayNanos = acceptDelayNanos;
     }
 
-    /** Netty calls this once the channel is registered with the loop. */
+    /** Netty calls this once the channel is registered with the event loop. */
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         frontend.opened(this);
-        awaitRequest(FIRST_REQUEST_MS);
+        awaitRequest(REQUEST_READ_TIMEOUT_MS);
     }
 
-    /** Whether an answer has been given on this connection. */
-    boolean answered() {
-        return answered;
+    /** Whether a response has been given on this connection. */
+    boolean hasResponded() {
+        return responded;
     }
 
-    /** Whether nothing is lost by a close: no request is held, none is arriving, no answer is on its way. */
-    boolean resting() {
-        return !busy && queue.isEmpty() && unwritten == 0 && !decoder.hasPartialRequest();
+    /**
+     * Whether a close loses nothing: no request is in progress, queued or received in part, and all responses
+     * are written.
+     */
+    boolean isIdle() {
+        return !requestInProgress && queue.isEmpty() && unwrittenResponses == 0
+                && !decoder.hasPartialRequest();
     }
 
-    /** Since when the connection waits for a request, of {@link System#nanoTime}. */
-    long restingSince() {
-        return restingSince;
+    /** When the connection began to wait for its next request, of {@link System#nanoTime}. */
+    long idleSince() {
+        return idleSince;
     }
 
-    /** Closes the connection if it rests. */
-    void dismiss() {
-        if (dispatcher.guard().mayClose(resting())) {
+    /** Closes the connection if it is idle. */
+    void closeIfIdle() {
+        if (dispatcher.guard().mayClose(isIdle())) {
             close();
         }
     }
 
-    /** Answers at once what is held or arriving, and ends the connection. */
+    /**
+     * Responds at once to the request that is in progress or has been received in part. The connection is
+     * closed after its last response.
+     */
     void finish() {
-        ending = true;
-        if (busy && request != 0) {
-            dispatcher.abort(request);
-        } else if (!busy && decoder.hasPartialRequest()) {
-            busy = true;
+        closing = true;
+        if (requestInProgress && requestId != 0) {
+            dispatcher.abort(requestId);
+        } else if (!requestInProgress && decoder.hasPartialRequest()) {
+            requestInProgress = true;
             keepAlive = false;
-            answer(Responses.refused(0));
+            respond(Responses.refused(0));
         }
     }
 
     private void close() {
-        ending = true;
+        closing = true;
         channel.close();
     }
 
-    private void awaitRequest(long limitMs) {
-        restingSince = System.nanoTime();
-        timesPartialRequest = false;
-        cancelPatience();
-        // After a stall of the loop a whole request may lie unread: the sockets get one more look.
-        patience = channel.eventLoop().schedule(() -> {
-            patience = channel.eventLoop().schedule(this::close, LAST_LOOK_MS, TimeUnit.MILLISECONDS);
-        }, limitMs, TimeUnit.MILLISECONDS);
+    /** Closes the connection unless a request is started within this time. */
+    private void awaitRequest(long timeoutMs) {
+        idleSince = System.nanoTime();
+        partialRequestTimed = false;
+        cancelReadTimeout();
+        // After a stall of the event loop a whole request may be unread; the delay lets it be read first.
+        readTimeout = channel.eventLoop().schedule(() -> {
+            readTimeout = channel.eventLoop().schedule(this::close, FINAL_READ_DELAY_MS,
+                    TimeUnit.MILLISECONDS);
+        }, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    private void cancelPatience() {
-        if (patience != null) {
-            patience.cancel(false);
+    private void cancelReadTimeout() {
+        if (readTimeout != null) {
+            readTimeout.cancel(false);
         }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) {
-        read++;
-        // Whatever the first read brings may have been there while the connection was not accepted.
+        requestsRead++;
+        // A request in the first read may have arrived before the connection was accepted.
         long now = System.nanoTime();
-        long unread = frontend.loopMonitor().maxUnreadNanos(now);
-        long waited = Math.max(readBefore ? 0 : unaccepted, unread < SHORT_NS ? 0 : unread);
-        if (!busy && queue.isEmpty() && channel.isWritable()) {
-            // Taken once all that is there has been read: the client's close may lie behind the request.
-            busy = true;
+        long unreadNanos = frontend.loopMonitor().maxUnreadNanos(now);
+        long waitedNanos = Math.max(firstReadComplete ? 0 : acceptDelayNanos,
+                unreadNanos < MIN_STALL_NANOS ? 0 : unreadNanos);
+        if (!requestInProgress && queue.isEmpty() && channel.isWritable()) {
+            // Started once all that has arrived is read: the client's close may follow the request.
+            requestInProgress = true;
             message.retain();
-            channel.eventLoop().execute(() -> takeAndRelease(message, waited));
-        } else if (queue.size() >= MOST_QUEUED) {
+            channel.eventLoop().execute(() -> startAndRelease(message, waitedNanos));
+        } else if (queue.size() >= MAX_QUEUED_REQUESTS) {
             close();
         } else {
-            enqueue(message, now - waited);
+            enqueue(message, now - waitedNanos);
         }
     }
 
-    /** A request whose message finds no room is refused in its turn. */
-    private void enqueue(FullHttpRequest message, long readAt) {
-        boolean kept = frontend.reserveQueuedBytes(size(message));
-        queue.add(new Queued(kept ? message.retain() : null, readAt));
-        long deadlineMs = RequestParser.deadlineMs(message);
-        if (deadlineMs >= 0) {
-            long position = read;
-            long rushAt = readAt + (deadlineMs - ANSWER_ROOM_MS) * 1_000_000;
-            channel.eventLoop().schedule(() -> rush(position), Math.max(0, rushAt - System.nanoTime()),
-                    TimeUnit.NANOSECONDS);
+    /** Queues a request, and limits the time of those before it, so that it gets a response in time. */
+    private void enqueue(FullHttpRequest message, long receivedAt) {
+        boolean reserved = frontend.reserveQueuedBytes(size(message));
+        queue.add(new QueuedRequest(reserved ? message.retain() : null, receivedAt));
+        long timeoutMs = RequestParser.timeoutMs(message);
+        if (timeoutMs >= 0) {
+            long position = requestsRead;
+            long abortAt = receivedAt + (timeoutMs - RESPONSE_MARGIN_MS) * 1_000_000;
+            channel.eventLoop().schedule(() -> abortRequestsBefore(position),
+                    Math.max(0, abortAt - System.nanoTime()), TimeUnit.NANOSECONDS);
         }
     }
 
-    /** The time of the request at this position is over: those before it are given up to answer it. */
-    private void rush(long position) {
-        if (!gone && taken < position) {
-            rushedUntil = Math.max(rushedUntil, position);
-            if (busy && request != 0) {
-                dispatcher.abort(request);
+    /**
+     * Called when the time of the request at this position is up. Unless it has been started, those before it
+     * are aborted or refused now, since its own refusal can be sent only after their responses.
+     */
+    private void abortRequestsBefore(long position) {
+        if (!disconnected && requestsStarted < position) {
+            abortBefore = Math.max(abortBefore, position);
+            if (requestInProgress && requestId != 0) {
+                dispatcher.abort(requestId);
             }
         }
     }
@@ -187,178 +221,182 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        readBefore = true;
-        if (!busy && queue.isEmpty() && decoder.hasPartialRequest() && !timesPartialRequest && answered) {
-            awaitRequest(FIRST_REQUEST_MS);
-            timesPartialRequest = true;
+        firstReadComplete = true;
+        if (!requestInProgress && queue.isEmpty() && decoder.hasPartialRequest() && !partialRequestTimed
+                && responded) {
+            awaitRequest(REQUEST_READ_TIMEOUT_MS);
+            partialRequestTimed = true;
         }
         context.fireChannelReadComplete();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        takeNext();
+        startNext();
         context.fireChannelWritabilityChanged();
     }
 
-    private void takeNext() {
-        if (busy || gone || !channel.isWritable()) {
+    private void startNext() {
+        if (requestInProgress || disconnected || !channel.isWritable()) {
             return;
         }
-        Queued next = queue.poll();
+        QueuedRequest next = queue.poll();
         if (next == null) {
             return;
         }
-        // Not from within this call: a row of malformed requests would nest as deep as it is long.
-        busy = true;
-        channel.eventLoop().execute(() -> takeQueued(next));
+        // Not called directly: a series of malformed requests would recurse once for each of them.
+        requestInProgress = true;
+        channel.eventLoop().execute(() -> startQueued(next));
     }
 
-    private void takeQueued(Queued next) {
+    private void startQueued(QueuedRequest next) {
         if (next.message() == null) {
-            taken++;
-            request = 0;
+            requestsStarted++;
+            requestId = 0;
             if (dispatcher.guard().mayStart(isConnected())) {
-                answer(Responses.refused(0));
+                respond(Responses.refused(0));
             }
             return;
         }
         frontend.releaseQueuedBytes(size(next.message()));
-        takeAndRelease(next.message(), System.nanoTime() - next.readAt());
+        startAndRelease(next.message(), System.nanoTime() - next.receivedAt());
     }
 
-    private void takeAndRelease(FullHttpRequest message, long waited) {
+    private void startAndRelease(FullHttpRequest message, long waitedNanos) {
         try {
-            take(message, waited);
+            start(message, waitedNanos);
         } finally {
             message.release();
         }
     }
 
-    private void take(FullHttpRequest message, long waited) {
-        busy = true;
-        request = 0;
-        taken++;
-        cancelPatience();
+    private void start(FullHttpRequest message, long waitedNanos) {
+        requestInProgress = true;
+        requestId = 0;
+        requestsStarted++;
+        cancelReadTimeout();
         if (!dispatcher.guard().mayStart(isConnected())) {
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(message);
         if (message.decoderResult().isFailure()) {
-            answerUndecoded(message.decoderResult().cause());
+            respondToDecodeFailure(message.decoderResult().cause());
             return;
         }
         String path = RequestParser.path(message);
-        if (crowded || frontend.finishing() || taken < rushedUntil) {
-            // A bare close would lose what the client has already written.
+        if (overLimit || frontend.finishing() || requestsStarted < abortBefore) {
+            // Closing without a response could lose further requests that the client has already written.
             dispatcher.refusedForCapacity(message.headers());
-            answer(Responses.refused(0));
+            respond(Responses.refused(0));
         } else if (path.equals("/up")) {
             boolean up = frontend.up();
-            answer(Responses.plainText(up ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+            respond(Responses.plainText(up ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                     ""));
         } else if (path.equals("/api") || path.startsWith("/api/")) {
-            submit(message, waited);
+            submit(message, waitedNanos);
         } else {
-            answer(Responses.plainText(HttpResponseStatus.NOT_FOUND, "no such path"));
+            respond(Responses.plainText(HttpResponseStatus.NOT_FOUND, "no such path"));
         }
     }
 
-    private void answerUndecoded(Throwable cause) {
+    private void respondToDecodeFailure(Throwable cause) {
         if (cause instanceof TooLongHttpContentException) {
-            answer(Responses.plainText(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large"));
+            respond(Responses.plainText(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large"));
         } else {
             keepAlive = false;
-            answer(Responses.plainText(HttpResponseStatus.BAD_REQUEST, "malformed request"));
+            respond(Responses.plainText(HttpResponseStatus.BAD_REQUEST, "malformed request"));
         }
     }
 
-    private void submit(FullHttpRequest message, long waited) {
+    private void submit(FullHttpRequest message, long waitedNanos) {
         RequestDispatcher.ClientRequest clientRequest;
         try {
-            clientRequest = frontend.parser().parse(message, waited);
+            clientRequest = frontend.parser().parse(message, waitedNanos);
         } catch (IllegalArgumentException e) {
-            answer(Responses.plainText(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
+            respond(Responses.plainText(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
             return;
         }
-        // The answer may come within this call; then the connection may already hold another request.
-        long submitted = taken;
-        awaitsAnswer = true;
+        // The response may come within this call, and then another request may already have been started.
+        long submitted = requestsStarted;
+        awaitingResponse = true;
         long id = dispatcher.submit(clientRequest, this);
-        if (awaitsAnswer && taken == submitted) {
-            request = id;
+        if (awaitingResponse && requestsStarted == submitted) {
+            requestId = id;
         }
     }
 
     @Override
     public boolean isConnected() {
-        return !gone && channel.isActive();
+        return !disconnected && channel.isActive();
     }
 
     @Override
-    public void onServed(RequestDispatcher.UpstreamResponse answer) {
-        answer(Responses.served(answer));
+    public void onServed(RequestDispatcher.UpstreamResponse response) {
+        respond(Responses.served(response));
     }
 
     @Override
-    public void onRefused(long wait) {
-        answer(Responses.refused(wait));
+    public void onRefused(long retryAfter) {
+        respond(Responses.refused(retryAfter));
     }
 
     @Override
     public void onFailed() {
-        answer(Responses.plainText(HttpResponseStatus.BAD_GATEWAY, "failed"));
+        respond(Responses.plainText(HttpResponseStatus.BAD_GATEWAY, "failed"));
     }
 
-    /** The close is announced only on the last answer: what was read before it is answered, too. */
-    private void answer(FullHttpResponse response) {
+    /**
+     * Writes a response. Only the last one announces the close of the connection: the requests that were read
+     * before it get their responses, too.
+     */
+    private void respond(FullHttpResponse response) {
         boolean last = queue.isEmpty() && !(decoder.hasPartialRequest() && keepAlive);
-        boolean keep = keepAlive && !(last && (frontend.draining() || ending || crowded));
+        boolean keepOpen = keepAlive && !(last && (frontend.draining() || closing || overLimit));
         HttpUtil.setContentLength(response, response.content().readableBytes());
-        if (!keep) {
+        if (!keepOpen) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        answered = true;
-        awaitsAnswer = false;
-        request = 0;
-        awaitRequest(NEXT_REQUEST_MS);
-        unwritten++;
+        responded = true;
+        awaitingResponse = false;
+        requestId = 0;
+        awaitRequest(IDLE_TIMEOUT_MS);
+        unwrittenResponses++;
         ChannelFuture written = channel.writeAndFlush(response);
-        if (!keep) {
-            ending = true;
+        if (!keepOpen) {
+            closing = true;
             channel.config().setAutoRead(false);
             written.addListener(done -> close());
             return;
         }
-        busy = false;
-        written.addListener(done -> unwritten--);
-        takeNext();
+        requestInProgress = false;
+        written.addListener(done -> unwrittenResponses--);
+        startNext();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        gone = true;
+        disconnected = true;
         frontend.closed(this);
-        cancelPatience();
-        for (Queued each : queue) {
-            if (each.message() != null) {
-                frontend.releaseQueuedBytes(size(each.message()));
-                each.message().release();
+        cancelReadTimeout();
+        for (QueuedRequest queued : queue) {
+            if (queued.message() != null) {
+                frontend.releaseQueuedBytes(size(queued.message()));
+                queued.message().release();
             }
         }
         queue.clear();
-        if (request != 0) {
-            if (ending) {
-                dispatcher.guard().report(LifecycleGuard.Violation.CLOSED_UNANSWERED, "request " + request);
+        if (requestId != 0) {
+            if (closing) {
+                dispatcher.guard().report(LifecycleGuard.Violation.CLOSED_UNANSWERED, "request " + requestId);
             }
-            dispatcher.clientDisconnected(request);
+            dispatcher.clientDisconnected(requestId);
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        boolean leftMidway = cause instanceof PrematureChannelClosureException;
-        if (!leftMidway && !(cause instanceof IOException)) {
+        boolean closedMidRequest = cause instanceof PrematureChannelClosureException;
+        if (!closedMidRequest && !(cause instanceof IOException)) {
             dispatcher.guard().report("frontend", cause);
         }
         channel.close();
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public boolean accepted(Channel channel, long acceptDelay) {
+    public boolean accepted(Channel channel, long acceptDelayNanos) {
         if (connections.size() >= maxConnections) {
             closeLongestIdle();
         }
@@ -70,7 +70,7 @@
         RequestDecoder decoder = new RequestDecoder();
         ClientConnection connection = new ClientConnection(this, dispatcher, channel, decoder,
                 connections.size() >= maxConnections,
-                Math.max(acceptDelay, loopMonitor.maxUnreadNanos(System.nanoTime())));
+                Math.max(acceptDelayNanos, loopMonitor.maxUnreadNanos(System.nanoTime())));
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new RequestAggregator(), connection);
         return true;
     }
@@ -161,8 +161,8 @@
      */
     private void closeIdle(boolean keepNew) {
         for (ClientConnection connection : List.copyOf(connections)) {
-            if (connection.resting() && (connection.answered() || !keepNew)) {
-                connection.dismiss();
+            if (connection.isIdle() && (connection.hasResponded() || !keepNew)) {
+                connection.closeIfIdle();
             }
         }
     }
@@ -170,12 +170,12 @@
     /** Closes the connection that has been idle for longest, if that is long enough. */
     private void closeLongestIdle() {
         long now = System.nanoTime();
-        connections.stream().filter(connection -> connection.resting()
-                        && now - connection.restingSince() >= MIN_IDLE_BEFORE_CLOSE_NANOS)
-                .min((a, b) -> Long.compare(a.restingSince() - b.restingSince(), 0))
+        connections.stream().filter(connection -> connection.isIdle()
+                        && now - connection.idleSince() >= MIN_IDLE_BEFORE_CLOSE_NANOS)
+                .min((a, b) -> Long.compare(a.idleSince() - b.idleSince(), 0))
                 .ifPresent(connection -> {
                     connections.remove(connection);
-                    connection.dismiss();
+                    connection.closeIfIdle();
                 });
     }
 
--- a/src/main/java/pondridge/sidecar/RequestParser.java
+++ b/src/main/java/pondridge/sidecar/RequestParser.java
@@ -38,11 +38,11 @@
     /**
      * Parses a request for the dispatcher.
      *
-     * @param waited for how many nanoseconds the request has waited unread or queued; they count towards its
-     *     deadline
+     * @param waitedNanos how long the request has waited in this sidecar: unaccepted, unread or queued. The
+     *     client's timeout has run meanwhile.
      * @throws IllegalArgumentException if a header is missing or invalid; its message is sent to the client
      */
-    RequestDispatcher.ClientRequest parse(FullHttpRequest message, long waited) {
+    RequestDispatcher.ClientRequest parse(FullHttpRequest message, long waitedNanos) {
         header(message, "Req-Id");
         int classIndex = classNames.indexOf(header(message, "Req-Kind"));
         if (classIndex < 0) {
@@ -63,13 +63,13 @@
         }
         boolean hasCostHint = message.headers().contains("Req-Cost");
         long costHint = hasCostHint ? number(message, "Req-Cost") * NANOS_PER_MICRO : 0;
-        return new RequestDispatcher.ClientRequest(classIndex, tenant, key(path(message)), waited,
+        return new RequestDispatcher.ClientRequest(classIndex, tenant, key(path(message)), waitedNanos,
                 number(message, "Req-Deadline-Ms"), costHint, "1".equals(message.headers().get("Req-Retry")),
                 method, message.uri(), message.headers(), ByteBufUtil.getBytes(message.content()));
     }
 
     /** How long the client waits from sending the request, in milliseconds; -1 without a valid header. */
-    static long deadlineMs(FullHttpRequest message) {
+    static long timeoutMs(FullHttpRequest message) {
         try {
             return number(message, "Req-Deadline-Ms");
         } catch (IllegalArgumentException e) {
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -418,7 +418,7 @@
             }
             harness.stallLoop(resume);
             FakeUpstream.write(client.socket, SidecarHarness.safeRequest("a"));
-            Thread.sleep(ClientConnection.FIRST_REQUEST_MS + 100);
+            Thread.sleep(ClientConnection.REQUEST_READ_TIMEOUT_MS + 100);
             resume.countDown();
             assertEquals("x", client.readResponse().body());
         }
