--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -37,8 +37,10 @@
     private static final int MAX_QUEUED_REQUESTS = 4_096;
     /** Time kept for the way back of the response to a queued request. */
     private static final long RESPONSE_MARGIN_MS = 10;
-
-    /** Usual iterations of the event loop are shorter. Time unread that is below this is not deducted. */
+    /**
+     * Longer than a usual iteration of the event loop. If a request has been unread for less, that is not
+     * deducted from its timeout.
+     */
     private static final long MIN_STALL_NANOS = 10_000_000;
 
     /**
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -117,10 +117,12 @@
         queuedBytes -= bytes;
     }
 
+    /** Called by each connection that has been accepted. */
     void opened(ClientConnection connection) {
         connections.add(connection);
     }
 
+    /** Called by each connection that has been closed, by either side. */
     void closed(ClientConnection connection) {
         connections.remove(connection);
     }
@@ -136,8 +138,8 @@
     }
 
     /**
-     * Closes all idle connections, new ones included. Called when clients have stopped connecting: one
-     * without a request by then will not get one.
+     * Closes all idle connections, new ones included. Called when clients have stopped connecting, so that a
+     * connection without a request is not going to get one.
      */
     void closeIdleConnections() {
         closeIdle(false);
--- a/src/main/java/pondridge/sidecar/RequestParser.java
+++ b/src/main/java/pondridge/sidecar/RequestParser.java
@@ -40,7 +40,7 @@
      *
      * @param waitedNanos how long the request has waited in this sidecar: unaccepted, unread or queued. The
      *     client's timeout has run meanwhile.
-     * @throws IllegalArgumentException if a header is missing or invalid; its message is sent to the client
+     * @throws IllegalArgumentException if a header is missing or invalid; the client gets its message
      */
     RequestDispatcher.ClientRequest parse(FullHttpRequest message, long waitedNanos) {
         header(message, "Req-Id");
--- a/src/test/java/pondridge/sidecar/SidecarHarness.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -23,7 +23,7 @@
 
 /**
  * A sidecar in the test's process, on an event loop of its own, that knows its upstreams from the start. Also
- * builds configurations and requests, and has a client.
+ * builds configurations and requests, and includes a client.
  */
 final class SidecarHarness implements AutoCloseable {
     /** {@code Req-Deadline-Ms} of the requests built here: longer than any test waits. */
