--- a/src/test/java/pondridge/sidecar/FakeUpstream.java
+++ b/src/test/java/pondridge/sidecar/FakeUpstream.java
@@ -79,7 +79,7 @@
         return thread;
     }
 
-    /** Takes the next entry of a queue; fails the test if none comes within the time-out. */
+    /** Takes the next entry of a queue; fails the test if none comes within the timeout. */
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -406,7 +406,7 @@
         }
     }
 
-    /** A whole request that arrived during a stall must be read before the read time-out is applied. */
+    /** A whole request that arrived during a stall must be read before the read timeout is applied. */
     @Test
     void requestReceivedDuringAStallIsServed() throws Exception {
         CountDownLatch resume = new CountDownLatch(1);
