--- a/src/main/java/pondridge/adapter/Main.java
+++ b/src/main/java/pondridge/adapter/Main.java
@@ -10,13 +10,20 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** Entry point: {@code java -jar pondridge.jar adapter} plays the wire on standard input and output. */
+/**
+ * Entry point of the adapter to the simulator: {@code java -jar pondridge.jar adapter} reads batches of
+ * events from standard input and writes the balancers' actions to standard output.
+ */
 public final class Main {
-    private static final int HEADER = 16;
+    private static final int HEADER_BYTES = 16;
 
     private Main() { }
 
-    /** Runs the adapter until input ends; a malformed frame ends it with a message and exit status 1. */
+    /**
+     * Runs the adapter until the end of its input. Malformed input, an invalid setting or an I/O error ends
+     * the process with a message on standard error and exit status 1; wrong arguments end it with the usage
+     * line and exit status 2.
+     */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("usage: java -jar pondridge.jar adapter");
@@ -31,37 +38,44 @@
         }
     }
 
+    /**
+     * Reads frames until the input ends between two of them, and writes one reply frame for each.
+     *
+     * <p>An input frame's header is little-endian: 8 bytes of time in nanoseconds, 4 bytes of frame length
+     * (including the header) and 4 bytes of record count.
+     */
     static void run(InputStream in, OutputStream out) throws IOException {
         Replies replies = new Replies();
         Host host = new Host(replies);
-        byte[] header = new byte[HEADER];
+        byte[] header = new byte[HEADER_BYTES];
         byte[] body = new byte[1 << 16];
         for (long frame = 0;; frame++) {
-            int got = in.readNBytes(header, 0, HEADER);
-            if (got == 0) {
+            int bytesRead = in.readNBytes(header, 0, HEADER_BYTES);
+            if (bytesRead == 0) {
                 return;
             }
-            if (got < HEADER) {
-                throw new WireException("frame " + frame + ": header cut short after " + got + " bytes");
+            if (bytesRead < HEADER_BYTES) {
+                throw new WireException("frame " + frame + ": header cut short after " + bytesRead
+                        + " bytes");
             }
-            ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-            long now = head.getLong();
-            long length = head.getInt() & 0xffffffffL;
-            long records = head.getInt() & 0xffffffffL;
-            if (now < 0 || length < HEADER || length > Integer.MAX_VALUE - 64) {
+            ByteBuffer headerFields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+            long now = headerFields.getLong();
+            long frameLength = headerFields.getInt() & 0xffffffffL;
+            long recordCount = headerFields.getInt() & 0xffffffffL;
+            if (now < 0 || frameLength < HEADER_BYTES || frameLength > Integer.MAX_VALUE - 64) {
                 throw new WireException("frame " + frame + ": clock or length out of range");
             }
-            int size = (int) length - HEADER;
-            if (body.length < size) {
-                body = new byte[size + size / 2];
+            int bodyLength = (int) frameLength - HEADER_BYTES;
+            if (body.length < bodyLength) {
+                body = new byte[bodyLength + bodyLength / 2];
             }
-            got = in.readNBytes(body, 0, size);
-            if (got < size) {
-                throw new WireException("frame " + frame + ": states " + length + " bytes, ends after "
-                        + (got + HEADER));
+            bytesRead = in.readNBytes(body, 0, bodyLength);
+            if (bytesRead < bodyLength) {
+                throw new WireException("frame " + frame + ": states " + frameLength + " bytes, ends after "
+                        + (bytesRead + HEADER_BYTES));
             }
             try {
-                host.batch(now, records, new Cursor(body, size));
+                host.batch(now, recordCount, new Cursor(body, bodyLength));
             } catch (WireException | IllegalArgumentException e) {
                 throw new WireException("frame " + frame + ": " + e.getMessage());
             }
