--- /dev/null
+++ b/src/main/java/pondridge/adapter/BatchDispatcher.java
@@ -0,0 +1,142 @@
+package pondridge.adapter;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import pondridge.Balancer;
+import pondridge.Balancer.ListUpdateType;
+import pondridge.Balancer.Outcome;
+import pondridge.Balancer.Request;
+import pondridge.Balancer.Upstream;
+import pondridge.Balancer.UpstreamState;
+import pondridge.Rules;
+import pondridge.SettingsReader;
+
+/**
+ * Hands the events of a batch to the balancers that they name. Each simulated sidecar has a balancer of its
+ * own; this class makes no decisions for them and passes nothing from one to another. The input defines
+ * numbered upstream lists, which all balancers use.
+ */
+final class BatchDispatcher {
+    private static final int MAX_LISTS = 16;
+    /** Limits the memory that a wrong entry count in the input reserves before the entries are read. */
+    private static final int MAX_INITIAL_CAPACITY = 1024;
+    private static final Outcome[] OUTCOMES = Outcome.values();
+    private static final ListUpdateType[] LIST_UPDATE_TYPES = ListUpdateType.values();
+    private static final UpstreamState[] UPSTREAM_STATES = UpstreamState.values();
+
+    private final Map<Integer, Balancer> balancers = new HashMap<>();
+    private final List<List<Upstream>> lists = new ArrayList<>();
+    private final Replies replies;
+
+    BatchDispatcher(Replies replies) {
+        this.replies = replies;
+        for (int i = 0; i < MAX_LISTS; i++) {
+            lists.add(null);
+        }
+    }
+
+    /** Handles all records of a frame's body; {@code now} is the time of their events, in nanoseconds. */
+    void dispatchBatch(long now, long recordCount, Cursor in) {
+        for (long i = 0; i < recordCount; i++) {
+            dispatchEvent(now, in.nextRecord(), in);
+            in.endRecord();
+        }
+        if (!in.atEnd()) {
+            throw new WireException("bytes left over after the last of " + recordCount + " records");
+        }
+    }
+
+    private void dispatchEvent(long now, int eventCode, Cursor in) {
+        switch (eventCode) {
+            case 1 -> provision(now, in);
+            case 2 -> membership(now, in);
+            case 3 -> submit(now, in);
+            case 4 -> balancer(in).firstByte(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
+            case 5 -> balancer(in).attemptEnded(now, in.u32(), in.u8(), in.upstream(),
+                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.u8() != 0,
+                    in.report());
+            case 6 -> balancer(in).clientDisconnected(now, in.u32());
+            case 7 -> balancer(in).timerFired(now, in.i64());
+            case 8 -> balancer(in).probeResult(now, in.upstream(),
+                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.report());
+            case 9 -> balancer(in).peerMessageReceived(now, in.u16(), in.bytes(in.u16()));
+            // The sidecar has stopped; when it starts again, a provision record creates a new balancer.
+            case 10 -> balancers.remove(in.u16());
+            case 11 -> defineList(in);
+            default -> throw new WireException("unknown event code " + eventCode + " at byte "
+                    + in.recordStart());
+        }
+    }
+
+    /** Reads a sidecar's number and returns its balancer. */
+    private Balancer balancer(Cursor in) {
+        int sidecar = in.u16();
+        Balancer balancer = balancers.get(sidecar);
+        if (balancer == null) {
+            throw new WireException("event for unknown instance " + sidecar + " at byte " + in.recordStart());
+        }
+        return balancer;
+    }
+
+    /** Creates the balancer of a sidecar that starts, and replaces the one it had before. */
+    private void provision(long now, Cursor in) {
+        int sidecar = in.u16();
+        long seed = in.i64();
+        Balancer balancer = new Rules(new SettingsReader(in.text(in.u32())).settings(), seed,
+                replies.sink(sidecar));
+        balancers.put(sidecar, balancer);
+        balancer.start(now);
+    }
+
+    /** Passes an update of the upstream list on; the list itself has been defined in a record before. */
+    private void membership(long now, Cursor in) {
+        Balancer balancer = balancer(in);
+        ListUpdateType updateType = in.choice(LIST_UPDATE_TYPES, in.u8(), "form");
+        in.i64(); // not used
+        long listNumber = in.u32();
+        if (updateType == ListUpdateType.FAILED) {
+            balancer.listUpdated(now, updateType, List.of());
+            return;
+        }
+        if (listNumber >= MAX_LISTS || lists.get((int) listNumber) == null) {
+            throw new WireException("unknown list number " + listNumber + " at byte " + in.recordStart());
+        }
+        balancer.listUpdated(now, updateType, lists.get((int) listNumber));
+    }
+
+    /**
+     * Passes a client's request on, without a response reserve. The bits of its flags: 1 if it has a cost
+     * hint, 2 for a client retry, 4 for a write.
+     */
+    private void submit(long now, Cursor in) {
+        Balancer balancer = balancer(in);
+        long id = in.u32();
+        int classIndex = in.u8();
+        int tenant = in.u16();
+        long key = in.i64();
+        long timeLeft = in.time("left");
+        long costHint = in.time("costGuess");
+        int flags = in.u8();
+        balancer.requestArrived(now,
+                new Request(id, classIndex, tenant, key, timeLeft, 0, (flags & 1) != 0 ? costHint : 0,
+                        (flags & 2) != 0, (flags & 4) != 0));
+    }
+
+    /** Defines the upstream list of a number, or replaces it. */
+    private void defineList(Cursor in) {
+        long listNumber = in.u32();
+        if (listNumber >= MAX_LISTS) {
+            throw new WireException("list number " + listNumber + " out of range at byte "
+                    + in.recordStart());
+        }
+        long count = in.u32();
+        List<Upstream> entries = new ArrayList<>((int) Math.min(count, MAX_INITIAL_CAPACITY));
+        for (long i = 0; i < count; i++) {
+            entries.add(new Upstream(in.upstream(), in.u8(), in.u16(), in.u16(),
+                    in.choice(UPSTREAM_STATES, in.u8(), "status"), in.f32(), in.time("lastStart")));
+        }
+        lists.set((int) listNumber, entries);
+    }
+}
--- a/src/main/java/pondridge/adapter/Main.java
+++ b/src/main/java/pondridge/adapter/Main.java
@@ -46,7 +46,7 @@
      */
     static void run(InputStream in, OutputStream out) throws IOException {
         Replies replies = new Replies();
-        Host host = new Host(replies);
+        BatchDispatcher dispatcher = new BatchDispatcher(replies);
         byte[] header = new byte[HEADER_BYTES];
         byte[] body = new byte[1 << 16];
         for (long frame = 0;; frame++) {
@@ -75,7 +75,7 @@
                         + (bytesRead + HEADER_BYTES));
             }
             try {
-                host.batch(now, recordCount, new Cursor(body, bodyLength));
+                dispatcher.dispatchBatch(now, recordCount, new Cursor(body, bodyLength));
             } catch (WireException | IllegalArgumentException e) {
                 throw new WireException("frame " + frame + ": " + e.getMessage());
             }
