--- a/src/main/java/pondridge/adapter/BatchDispatcher.java
+++ b/src/main/java/pondridge/adapter/BatchDispatcher.java
@@ -38,7 +38,7 @@
     }
 
     /** Handles all records of a frame's body; {@code now} is the time of their events, in nanoseconds. */
-    void dispatchBatch(long now, long recordCount, Cursor in) {
+    void dispatchBatch(long now, long recordCount, FrameReader in) {
         for (long i = 0; i < recordCount; i++) {
             dispatchEvent(now, in.nextRecord(), in);
             in.endRecord();
@@ -48,19 +48,19 @@
         }
     }
 
-    private void dispatchEvent(long now, int eventCode, Cursor in) {
+    private void dispatchEvent(long now, int eventCode, FrameReader in) {
         switch (eventCode) {
             case 1 -> provision(now, in);
             case 2 -> membership(now, in);
             case 3 -> submit(now, in);
-            case 4 -> balancer(in).firstByte(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
-            case 5 -> balancer(in).attemptEnded(now, in.u32(), in.u8(), in.upstream(),
-                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.u8() != 0,
-                    in.report());
+            case 4 -> balancer(in).firstByte(now, in.u32(), in.u8(), in.upstreamId(), in.nanos("timeTaken"));
+            case 5 -> balancer(in).attemptEnded(now, in.u32(), in.u8(), in.upstreamId(),
+                    in.enumValue(OUTCOMES, in.u8(), "stateCode"), in.nanos("timeTaken"), in.u8() != 0,
+                    in.loadReport());
             case 6 -> balancer(in).clientDisconnected(now, in.u32());
             case 7 -> balancer(in).timerFired(now, in.i64());
-            case 8 -> balancer(in).probeResult(now, in.upstream(),
-                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.report());
+            case 8 -> balancer(in).probeResult(now, in.upstreamId(),
+                    in.enumValue(OUTCOMES, in.u8(), "stateCode"), in.nanos("timeTaken"), in.loadReport());
             case 9 -> balancer(in).peerMessageReceived(now, in.u16(), in.bytes(in.u16()));
             // The sidecar has stopped; when it starts again, a provision record creates a new balancer.
             case 10 -> balancers.remove(in.u16());
@@ -71,7 +71,7 @@
     }
 
     /** Reads a sidecar's number and returns its balancer. */
-    private Balancer balancer(Cursor in) {
+    private Balancer balancer(FrameReader in) {
         int sidecar = in.u16();
         Balancer balancer = balancers.get(sidecar);
         if (balancer == null) {
@@ -81,7 +81,7 @@
     }
 
     /** Creates the balancer of a sidecar that starts, and replaces the one it had before. */
-    private void provision(long now, Cursor in) {
+    private void provision(long now, FrameReader in) {
         int sidecar = in.u16();
         long seed = in.i64();
         Balancer balancer = new Rules(new SettingsReader(in.text(in.u32())).settings(), seed,
@@ -91,9 +91,9 @@
     }
 
     /** Passes an update of the upstream list on; the list itself has been defined in a record before. */
-    private void membership(long now, Cursor in) {
+    private void membership(long now, FrameReader in) {
         Balancer balancer = balancer(in);
-        ListUpdateType updateType = in.choice(LIST_UPDATE_TYPES, in.u8(), "form");
+        ListUpdateType updateType = in.enumValue(LIST_UPDATE_TYPES, in.u8(), "form");
         in.i64(); // not used
         long listNumber = in.u32();
         if (updateType == ListUpdateType.FAILED) {
@@ -110,14 +110,14 @@
      * Passes a client's request on, without a response reserve. The bits of its flags: 1 if it has a cost
      * hint, 2 for a client retry, 4 for a write.
      */
-    private void submit(long now, Cursor in) {
+    private void submit(long now, FrameReader in) {
         Balancer balancer = balancer(in);
         long id = in.u32();
         int classIndex = in.u8();
         int tenant = in.u16();
         long key = in.i64();
-        long timeLeft = in.time("left");
-        long costHint = in.time("costGuess");
+        long timeLeft = in.nanos("left");
+        long costHint = in.nanos("costGuess");
         int flags = in.u8();
         balancer.requestArrived(now,
                 new Request(id, classIndex, tenant, key, timeLeft, 0, (flags & 1) != 0 ? costHint : 0,
@@ -125,7 +125,7 @@
     }
 
     /** Defines the upstream list of a number, or replaces it. */
-    private void defineList(Cursor in) {
+    private void defineList(FrameReader in) {
         long listNumber = in.u32();
         if (listNumber >= MAX_LISTS) {
             throw new WireException("list number " + listNumber + " out of range at byte "
@@ -134,8 +134,8 @@
         long count = in.u32();
         List<Upstream> entries = new ArrayList<>((int) Math.min(count, MAX_INITIAL_CAPACITY));
         for (long i = 0; i < count; i++) {
-            entries.add(new Upstream(in.upstream(), in.u8(), in.u16(), in.u16(),
-                    in.choice(UPSTREAM_STATES, in.u8(), "status"), in.f32(), in.time("lastStart")));
+            entries.add(new Upstream(in.upstreamId(), in.u8(), in.u16(), in.u16(),
+                    in.enumValue(UPSTREAM_STATES, in.u8(), "status"), in.f32(), in.nanos("lastStart")));
         }
         lists.set((int) listNumber, entries);
     }
--- a/src/main/java/pondridge/adapter/Cursor.java
+++ b/src/main/java/pondridge/adapter/FrameReader.java
@@ -4,37 +4,41 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads little-endian fields of one frame's body and never runs past the end of the current record. */
-final class Cursor {
+/**
+ * Reads the records of one frame's body and their little-endian fields. A field that extends past the end of
+ * its record is an error.
+ */
+final class FrameReader {
     private final ByteBuffer buffer;
     private int recordStart;
     private int recordEnd;
 
-    Cursor(byte[] bytes, int length) {
+    FrameReader(byte[] bytes, int length) {
         buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Starts the next record and returns its code. */
+    /** Reads the header of the next record (1 byte event code, 4 bytes length) and returns the event code. */
     int nextRecord() {
         recordStart = buffer.position();
         if (buffer.remaining() < 5) {
             throw new WireException("record header cut short at byte " + recordStart);
         }
-        int code = buffer.get() & 0xff;
+        int eventCode = buffer.get() & 0xff;
         long length = buffer.getInt() & 0xffffffffL;
         if (length > buffer.remaining()) {
             throw new WireException("record at byte " + recordStart + " states " + length + " bytes, "
                     + buffer.remaining() + " are left");
         }
         recordEnd = buffer.position() + (int) length;
-        return code;
+        return eventCode;
     }
 
-    /** Ends a record; fields added by later versions of the wire are passed over. */
+    /** Ends the record and skips its unread fields, which later versions of the format may have added. */
     void endRecord() {
         buffer.position(recordEnd);
     }
 
+    /** Where the record begins in the frame's body, for error messages. */
     int recordStart() {
         return recordStart;
     }
@@ -43,39 +47,43 @@
         return !buffer.hasRemaining();
     }
 
-    private void need(long bytes) {
-        if (bytes > recordEnd - buffer.position()) {
+    /** Checks that the record has at least this many bytes left. */
+    private void requireBytes(long count) {
+        if (count > recordEnd - buffer.position()) {
             throw new WireException("field cut short in the record at byte " + recordStart);
         }
     }
 
     int u8() {
-        need(1);
+        requireBytes(1);
         return buffer.get() & 0xff;
     }
 
     int u16() {
-        need(2);
+        requireBytes(2);
         return buffer.getShort() & 0xffff;
     }
 
     long u32() {
-        need(4);
+        requireBytes(4);
         return buffer.getInt() & 0xffffffffL;
     }
 
     long i64() {
-        need(8);
+        requireBytes(8);
         return buffer.getLong();
     }
 
     float f32() {
-        need(4);
+        requireBytes(4);
         return buffer.getFloat();
     }
 
-    /** A time: unsigned on the wire, but no clock or span reaches the top bit. */
-    long time(String field) {
+    /**
+     * Reads a time or a duration in nanoseconds. It is unsigned on the wire; one with the top bit set is an
+     * error, since no valid value is that large.
+     */
+    long nanos(String field) {
         long value = i64();
         if (value < 0) {
             throw new WireException(field + " out of range in the record at byte " + recordStart);
@@ -83,24 +91,25 @@
         return value;
     }
 
-    /** An upstream: four address bytes and a port, packed as one opaque number. */
-    long upstream() {
+    /** Reads an upstream's four address bytes and its port, and packs them into one opaque id. */
+    long upstreamId() {
         long address = u32();
         return address << 16 | u16();
     }
 
     byte[] bytes(long count) {
-        need(count);
-        byte[] out = new byte[(int) count];
-        buffer.get(out);
-        return out;
+        requireBytes(count);
+        byte[] result = new byte[(int) count];
+        buffer.get(result);
+        return result;
     }
 
     String text(long count) {
         return new String(bytes(count), StandardCharsets.UTF_8);
     }
 
-    float[] report() {
+    /** Reads the values of a load report, which may be none. */
+    float[] loadReport() {
         int count = u8();
         if (count == 0) {
             return Replies.NO_REPORT;
@@ -112,8 +121,11 @@
         return values;
     }
 
-    /** The value an ordinal names, or an error saying which field was out of range. */
-    <T> T choice(T[] values, int ordinal, String field) {
+    /**
+     * Returns the value with this ordinal, so the order of the enums is part of the wire format. An ordinal
+     * out of range is an error that names the field.
+     */
+    <T> T enumValue(T[] values, int ordinal, String field) {
         if (ordinal >= values.length) {
             throw new WireException(field + " " + ordinal + " out of range in the record at byte "
                     + recordStart);
--- a/src/main/java/pondridge/adapter/Main.java
+++ b/src/main/java/pondridge/adapter/Main.java
@@ -75,7 +75,7 @@
                         + (bytesRead + HEADER_BYTES));
             }
             try {
-                dispatcher.dispatchBatch(now, recordCount, new Cursor(body, bodyLength));
+                dispatcher.dispatchBatch(now, recordCount, new FrameReader(body, bodyLength));
             } catch (WireException | IllegalArgumentException e) {
                 throw new WireException("frame " + frame + ": " + e.getMessage());
             }
