--- a/src/main/java/pondridge/adapter/BatchDispatcher.java
+++ b/src/main/java/pondridge/adapter/BatchDispatcher.java
@@ -28,10 +28,10 @@
 
     private final Map<Integer, Balancer> balancers = new HashMap<>();
     private final List<List<Upstream>> lists = new ArrayList<>();
-    private final Replies replies;
+    private final ReplyFrame replyFrame;
 
-    BatchDispatcher(Replies replies) {
-        this.replies = replies;
+    BatchDispatcher(ReplyFrame replyFrame) {
+        this.replyFrame = replyFrame;
         for (int i = 0; i < MAX_LISTS; i++) {
             lists.add(null);
         }
@@ -85,7 +85,7 @@
         int sidecar = in.u16();
         long seed = in.i64();
         Balancer balancer = new Rules(new SettingsReader(in.text(in.u32())).settings(), seed,
-                replies.sink(sidecar));
+                replyFrame.recordWriter(sidecar));
         balancers.put(sidecar, balancer);
         balancer.start(now);
     }
--- a/src/main/java/pondridge/adapter/FrameReader.java
+++ b/src/main/java/pondridge/adapter/FrameReader.java
@@ -112,7 +112,7 @@
     float[] loadReport() {
         int count = u8();
         if (count == 0) {
-            return Replies.NO_REPORT;
+            return ReplyFrame.EMPTY_LOAD_REPORT;
         }
         float[] values = new float[count];
         for (int i = 0; i < count; i++) {
--- a/src/main/java/pondridge/adapter/Main.java
+++ b/src/main/java/pondridge/adapter/Main.java
@@ -41,12 +41,12 @@
     /**
      * Reads frames until the input ends between two of them, and writes one reply frame for each.
      *
-     * <p>An input frame's header is little-endian: 8 bytes of time in nanoseconds, 4 bytes of frame length
-     * (including the header) and 4 bytes of record count.
+     * <p>The header of an input frame is little-endian: 8 bytes of time in nanoseconds, 4 bytes of frame
+     * length (including the header) and 4 bytes of record count.
      */
     static void run(InputStream in, OutputStream out) throws IOException {
-        Replies replies = new Replies();
-        BatchDispatcher dispatcher = new BatchDispatcher(replies);
+        ReplyFrame replyFrame = new ReplyFrame();
+        BatchDispatcher dispatcher = new BatchDispatcher(replyFrame);
         byte[] header = new byte[HEADER_BYTES];
         byte[] body = new byte[1 << 16];
         for (long frame = 0;; frame++) {
@@ -79,7 +79,7 @@
             } catch (WireException | IllegalArgumentException e) {
                 throw new WireException("frame " + frame + ": " + e.getMessage());
             }
-            replies.writeTo(out);
+            replyFrame.writeTo(out);
         }
     }
 }
--- a/src/test/java/pondridge/adapter/WireTest.java
+++ b/src/test/java/pondridge/adapter/WireTest.java
@@ -169,18 +169,18 @@
 
     @Test
     void everyActionHasItsLayout() throws IOException {
-        Replies replies = new Replies();
-        Actions sink = replies.sink(2);
-        sink.refuse(1, 5, FailureReason.SHED);
-        sink.fail(1, FailureReason.DEADLINE);
-        sink.cancel(1, 3);
-        sink.probe(0x0000_0001_0050L);
-        sink.closeIdleConnections(1);
-        sink.sendToPeer(Actions.ALL_PEERS, new byte[] {9});
-        sink.log("hi");
-        sink.fetchList();
+        ReplyFrame replyFrame = new ReplyFrame();
+        Actions actions = replyFrame.recordWriter(2);
+        actions.refuse(1, 5, FailureReason.SHED);
+        actions.fail(1, FailureReason.DEADLINE);
+        actions.cancel(1, 3);
+        actions.probe(0x0000_0001_0050L);
+        actions.closeIdleConnections(1);
+        actions.sendToPeer(Actions.ALL_PEERS, new byte[] {9});
+        actions.log("hi");
+        actions.fetchList();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        replies.writeTo(out);
+        replyFrame.writeTo(out);
         ByteBuffer in = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(8, in.getInt());
         assertEquals(out.size(), in.getInt());
