--- a/src/main/java/pondridge/adapter/WireException.java
+++ b/src/main/java/pondridge/adapter/WireException.java
@@ -1,6 +1,6 @@
 package pondridge.adapter;
 
-/** Input that breaks the wire's format; the message says what and where. */
+/** Thrown if the input violates the simulator's wire format; the message says what is wrong and where. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
