--- a/src/main/java/pondridge/adapter/package-info.java
+++ b/src/main/java/pondridge/adapter/package-info.java
@@ -1,2 +1,5 @@
-/** The simulator's wire: reads event frames, drives one module instance a sidecar, writes action frames. */
+/**
+ * Adapter to the simulator: reads frames of events, runs one balancer per simulated sidecar and writes frames
+ * of their actions.
+ */
 package pondridge.adapter;
