--- a/src/test/java/pondridge/adapter/PackagedJarIT.java
+++ b/src/test/java/pondridge/adapter/PackagedJarIT.java
@@ -43,13 +43,14 @@
 
     @Test
     void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
-        byte[] provision = new WireTest.Frame().provision(1, WireTest.OPTIONS).bytes(1);
+        byte[] provision = new WireTest.FrameBuilder().provision(1, WireTest.SETTINGS).build(1);
         Map<String, byte[]> bad = Map.of(
                 "header cut short", new byte[] {1, 2, 3},
                 "ends after", Arrays.copyOf(provision, provision.length - 3),
-                "unknown event code 99", new WireTest.Frame().record(99).end().bytes(1),
+                "unknown event code 99", new WireTest.FrameBuilder().record(99).endRecord().build(1),
                 "setting missing: rules.rampTime",
-                new WireTest.Frame().provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x")).bytes(1));
+                new WireTest.FrameBuilder().provision(1, WireTest.SETTINGS.replace("rules.rampTime", "x"))
+                        .build(1));
         for (Map.Entry<String, byte[]> each : bad.entrySet()) {
             Result result = run(each.getValue(), "adapter");
             assertEquals(1, result.status, each.getKey());
@@ -61,8 +62,8 @@
 
     @Test
     void repliesBeforeAMalformedFrameAreComplete() throws Exception {
-        byte[] whole = new WireTest.Frame().bytes(5);
-        Result result = run(WireTest.join(whole, whole, new byte[] {9}), "adapter");
+        byte[] whole = new WireTest.FrameBuilder().build(5);
+        Result result = run(WireTest.concatenate(whole, whole, new byte[] {9}), "adapter");
         assertEquals(1, result.status);
         assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 8, 0, 0, 0}, result.out);
         assertTrue(result.err.contains("frame 2: header cut short"), result.err);
--- a/src/test/java/pondridge/adapter/WireTest.java
+++ b/src/test/java/pondridge/adapter/WireTest.java
@@ -18,8 +18,10 @@
 import pondridge.Balancer.Settings;
 import pondridge.SettingsReader;
 
+/** The wire format: event frames in, action frames out, errors for malformed input. */
 class WireTest {
-    static final String OPTIONS = String.join("\n",
+    /** A sidecar's settings; {@code brand.newKey} stands for a key that this version does not know. */
+    static final String SETTINGS = String.join("\n",
             "caps.mayCancel=true", "caps.tryLimit=3", "caps.parallelTries=true", "brand.newKey=what,ever",
             "discovery=subscribe", "profiles.count=1", "profiles.0.deadline=1000000000",
             "profiles.0.slo=500000000", "profiles.0.semantics=once", "profiles.0.worth=2.5",
@@ -28,88 +30,89 @@
             "rules.coldShare=0.3", "rules.overloadFactor=3.0", "rules.rampTime=8000000000",
             "rules.stopSendingWithin=250000000", "rules.tipAfter=1500000000");
 
-    /** Builds frames from the documented layout. */
-    static final class Frame {
+    /** Builds a frame of events from the documented layout, independent of the code under test. */
+    static final class FrameBuilder {
         private final ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
-        private int records;
-        private int start;
+        private int recordCount;
+        private int lengthPosition;
 
-        Frame record(int code) {
-            body.put((byte) code);
-            start = body.position();
+        /** Begins a record; its length is 0 until {@link #endRecord}. */
+        FrameBuilder record(int eventCode) {
+            body.put((byte) eventCode);
+            lengthPosition = body.position();
             body.putInt(0);
-            records++;
+            recordCount++;
             return this;
         }
 
-        Frame end() {
-            body.putInt(start, body.position() - start - 4);
+        FrameBuilder endRecord() {
+            body.putInt(lengthPosition, body.position() - lengthPosition - 4);
             return this;
         }
 
-        byte[] bytes(long clock) {
+        byte[] build(long now) {
             ByteBuffer out = ByteBuffer.allocate(16 + body.position()).order(ByteOrder.LITTLE_ENDIAN);
-            out.putLong(clock).putInt(16 + body.position()).putInt(records);
+            out.putLong(now).putInt(16 + body.position()).putInt(recordCount);
             out.put(body.array(), 0, body.position());
             return out.array();
         }
 
-        Frame provision(int sidecar, String options) {
-            byte[] text = options.getBytes(StandardCharsets.UTF_8);
+        FrameBuilder provision(int sidecar, String settings) {
+            byte[] text = settings.getBytes(StandardCharsets.UTF_8);
             record(1).body.putShort((short) sidecar).putLong(42).putInt(text.length).put(text);
-            return end();
+            return endRecord();
         }
 
-        Frame list(int number, int... upstreams) {
-            record(11).body.putInt(number).putInt(upstreams.length);
-            for (int id : upstreams) {
-                body.putInt(id).putShort((short) 80).put((byte) 0).putShort((short) 0).putShort((short) 0)
-                        .put((byte) 1).putFloat(1).putLong(0);
+        FrameBuilder defineList(int listNumber, int... addresses) {
+            record(11).body.putInt(listNumber).putInt(addresses.length);
+            for (int address : addresses) {
+                body.putInt(address).putShort((short) 80).put((byte) 0).putShort((short) 0)
+                        .putShort((short) 0).put((byte) 1).putFloat(1).putLong(0);
             }
-            return end();
+            return endRecord();
         }
 
-        Frame membership(int sidecar, int form, int number) {
-            record(2).body.putShort((short) sidecar).put((byte) form).putLong(1).putInt(number);
-            return end();
+        FrameBuilder membership(int sidecar, int form, int listNumber) {
+            record(2).body.putShort((short) sidecar).put((byte) form).putLong(1).putInt(listNumber);
+            return endRecord();
         }
 
-        Frame submit(int sidecar, int id) {
-            record(3).body.putShort((short) sidecar).putInt(id).put((byte) 0).putShort((short) 0).putLong(0)
-                    .putLong(1_000_000_000L).putLong(0).put((byte) 0);
-            return end();
+        FrameBuilder submit(int sidecar, int requestId) {
+            record(3).body.putShort((short) sidecar).putInt(requestId).put((byte) 0).putShort((short) 0)
+                    .putLong(0).putLong(1_000_000_000L).putLong(0).put((byte) 0);
+            return endRecord();
         }
     }
 
-    static byte[] join(byte[]... frames) {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    static byte[] concatenate(byte[]... frames) {
+        ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (byte[] frame : frames) {
-            whole.writeBytes(frame);
+            all.writeBytes(frame);
         }
-        return whole.toByteArray();
+        return all.toByteArray();
     }
 
-    private static byte[] play(byte[]... frames) throws IOException {
+    private static byte[] runAdapter(byte[]... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Main.run(new ByteArrayInputStream(join(frames)), out);
+        Main.run(new ByteArrayInputStream(concatenate(frames)), out);
         return out.toByteArray();
     }
 
-    private static void fails(String part, byte[]... frames) {
-        WireException e = assertThrows(WireException.class, () -> play(frames));
-        assertTrue(e.getMessage().contains(part), e.getMessage());
+    private static void assertRejected(String expectedText, byte[]... frames) {
+        WireException e = assertThrows(WireException.class, () -> runAdapter(frames));
+        assertTrue(e.getMessage().contains(expectedText), e.getMessage());
     }
 
     @Test
     void emptyBatchGetsAnEmptyReply() throws IOException {
-        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, play(new Frame().bytes(5)));
-        assertEquals(0, play().length);
+        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, runAdapter(new FrameBuilder().build(5)));
+        assertEquals(0, runAdapter().length);
     }
 
     @Test
-    void requestIsPlacedOnTheListedUpstream() throws IOException {
-        byte[] reply = play(new Frame().provision(3, OPTIONS).list(0, 0x0100_000a).membership(3, 2, 0)
-                .submit(3, 0xf0000001).bytes(1_000_000_000L));
+    void requestIsSentToTheListedUpstream() throws IOException {
+        byte[] reply = runAdapter(new FrameBuilder().provision(3, SETTINGS).defineList(0, 0x0100_000a)
+                .membership(3, 2, 0).submit(3, 0xf0000001).build(1_000_000_000L));
         ByteBuffer in = ByteBuffer.wrap(reply).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(reply.length, in.getInt(4));
         in.position(8);
@@ -117,7 +120,7 @@
         in.position(in.position() + 4 + 3);
         assertEquals(5, in.get(), "sets a timer");
         in.position(in.position() + 4 + 18);
-        assertEquals(1, in.get(), "places");
+        assertEquals(1, in.get(), "sends");
         assertEquals(20, in.getInt());
         assertEquals(3, in.getShort());
         assertEquals(0xf0000001, in.getInt());
@@ -126,49 +129,55 @@
     }
 
     @Test
-    void listNumbersResolveByOrder() throws IOException {
-        byte[] reply = play(new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).list(0, 8)
-                .membership(1, 1, 0).submit(1, 9).bytes(1_000_000_000L));
+    void listUpdateUsesTheLatestListOfItsNumber() throws IOException {
+        byte[] reply = runAdapter(new FrameBuilder().provision(1, SETTINGS).defineList(0, 7)
+                .membership(1, 2, 0).defineList(0, 8).membership(1, 1, 0).submit(1, 9).build(1_000_000_000L));
         String hex = java.util.HexFormat.of().formatHex(reply);
+        // Request 9 is sent to address 8, port 80.
         assertTrue(hex.contains("09000000" + "08000000" + "5000"), hex);
     }
 
     @Test
-    void restartInOneBatchForgetsTheOldInstance() throws IOException {
-        Frame frame = new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).submit(1, 9);
+    void sidecarCanRestartWithinABatch() throws IOException {
+        FrameBuilder frame = new FrameBuilder().provision(1, SETTINGS).defineList(0, 7)
+                .membership(1, 2, 0).submit(1, 9);
         frame.record(10).body.putShort((short) 1);
-        frame.end().provision(1, OPTIONS).membership(1, 2, 0);
-        assertTrue(play(frame.bytes(1_000_000_000L)).length > 8);
+        frame.endRecord().provision(1, SETTINGS).membership(1, 2, 0);
+        assertTrue(runAdapter(frame.build(1_000_000_000L)).length > 8);
     }
 
     @Test
-    void malformedFramesAreNamed() {
-        fails("header cut short", new byte[5]);
-        byte[] whole = new Frame().provision(1, OPTIONS).bytes(1);
-        fails("ends after", java.util.Arrays.copyOf(whole, whole.length - 3));
-        fails("unknown event code 99", new Frame().record(99).end().bytes(1));
-        fails("unknown instance 5", new Frame().submit(5, 1).bytes(1));
-        fails("unknown list number 3", new Frame().provision(1, OPTIONS).membership(1, 1, 3).bytes(1));
-        fails("form 9 out of range", new Frame().provision(1, OPTIONS).list(0).membership(1, 9, 0).bytes(1));
-        fails("field cut short", new Frame().provision(1, OPTIONS).record(6).end().bytes(1));
+    void malformedFramesAreReported() {
+        assertRejected("header cut short", new byte[5]);
+        byte[] complete = new FrameBuilder().provision(1, SETTINGS).build(1);
+        assertRejected("ends after", java.util.Arrays.copyOf(complete, complete.length - 3));
+        assertRejected("unknown event code 99", new FrameBuilder().record(99).endRecord().build(1));
+        assertRejected("unknown instance 5", new FrameBuilder().submit(5, 1).build(1));
+        assertRejected("unknown list number 3",
+                new FrameBuilder().provision(1, SETTINGS).membership(1, 1, 3).build(1));
+        assertRejected("form 9 out of range",
+                new FrameBuilder().provision(1, SETTINGS).defineList(0).membership(1, 9, 0).build(1));
+        assertRejected("field cut short",
+                new FrameBuilder().provision(1, SETTINGS).record(6).endRecord().build(1));
     }
 
     @Test
-    void settingsAreReadAndMissingOnesNamed() {
-        Settings settings = new SettingsReader(OPTIONS).settings();
+    void settingsAreReadAndInvalidOnesReported() {
+        Settings settings = new SettingsReader(SETTINGS).settings();
         assertEquals(Semantics.ONCE, settings.classes().get(0).semantics());
         assertEquals(2.5, settings.classes().get(0).value());
         assertEquals(2, settings.reportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
-        fails("setting missing: rules.rampTime",
-                new Frame().provision(1, OPTIONS.replace("rules.rampTime", "x")).bytes(1));
-        fails("not a number", new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
-        fails("cold share",
-                new Frame().provision(1, OPTIONS.replace("coldShare=0.3", "coldShare=7")).bytes(1));
+        assertRejected("setting missing: rules.rampTime",
+                new FrameBuilder().provision(1, SETTINGS.replace("rules.rampTime", "x")).build(1));
+        assertRejected("not a number",
+                new FrameBuilder().provision(1, SETTINGS.replace("slo=5", "slo=five")).build(1));
+        assertRejected("cold share",
+                new FrameBuilder().provision(1, SETTINGS.replace("coldShare=0.3", "coldShare=7")).build(1));
     }
 
     @Test
-    void everyActionHasItsLayout() throws IOException {
+    void actionRecordsHaveTheirCodesAndLengths() throws IOException {
         ReplyFrame replyFrame = new ReplyFrame();
         Actions actions = replyFrame.recordWriter(2);
         actions.refuse(1, 5, FailureReason.SHED);
