--- a/src/test/java/pondridge/adapter/PackagedJarIT.java
+++ b/src/test/java/pondridge/adapter/PackagedJarIT.java
@@ -14,7 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The packaged jar as a process: exit status, standard error, nothing half-written on standard output. */
+/**
+ * Runs the packaged jar as a process and checks its exit status, its messages on standard error, and that its
+ * standard output holds complete frames only.
+ */
 class PackagedJarIT {
     private record Result(int status, byte[] out, String err) { }
 
@@ -27,7 +30,7 @@
         try (OutputStream in = process.getOutputStream()) {
             in.write(input);
         } catch (IOException e) {
-            // The process may have refused its arguments before reading.
+            // The process reads no input if its arguments are wrong, so the pipe may be closed.
         }
         byte[] out = process.getInputStream().readAllBytes();
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -35,7 +38,7 @@
     }
 
     @Test
-    void endOfInputIsAnOrderlyEnd() throws Exception {
+    void endOfInputExitsWithStatusZero() throws Exception {
         Result result = run(new byte[0], "adapter");
         assertEquals(0, result.status);
         assertEquals(0, result.out.length);
@@ -44,26 +47,26 @@
     @Test
     void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
         byte[] provision = new WireTest.FrameBuilder().provision(1, WireTest.SETTINGS).build(1);
-        Map<String, byte[]> bad = Map.of(
+        Map<String, byte[]> inputsByMessage = Map.of(
                 "header cut short", new byte[] {1, 2, 3},
                 "ends after", Arrays.copyOf(provision, provision.length - 3),
                 "unknown event code 99", new WireTest.FrameBuilder().record(99).endRecord().build(1),
                 "setting missing: rules.rampTime",
                 new WireTest.FrameBuilder().provision(1, WireTest.SETTINGS.replace("rules.rampTime", "x"))
                         .build(1));
-        for (Map.Entry<String, byte[]> each : bad.entrySet()) {
-            Result result = run(each.getValue(), "adapter");
-            assertEquals(1, result.status, each.getKey());
-            assertEquals(0, result.out.length, each.getKey());
-            assertTrue(result.err.contains("frame 0: ") && result.err.contains(each.getKey()), result.err);
+        for (Map.Entry<String, byte[]> entry : inputsByMessage.entrySet()) {
+            Result result = run(entry.getValue(), "adapter");
+            assertEquals(1, result.status, entry.getKey());
+            assertEquals(0, result.out.length, entry.getKey());
+            assertTrue(result.err.contains("frame 0: ") && result.err.contains(entry.getKey()), result.err);
             assertTrue(result.err.strip().lines().count() == 1, "one line, no stack trace: " + result.err);
         }
     }
 
     @Test
     void repliesBeforeAMalformedFrameAreComplete() throws Exception {
-        byte[] whole = new WireTest.FrameBuilder().build(5);
-        Result result = run(WireTest.concatenate(whole, whole, new byte[] {9}), "adapter");
+        byte[] emptyFrame = new WireTest.FrameBuilder().build(5);
+        Result result = run(WireTest.concatenate(emptyFrame, emptyFrame, new byte[] {9}), "adapter");
         assertEquals(1, result.status);
         assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 8, 0, 0, 0}, result.out);
         assertTrue(result.err.contains("frame 2: header cut short"), result.err);
