--- a/src/main/java/pondridge/adapter/BatchDispatcher.java
+++ b/src/main/java/pondridge/adapter/BatchDispatcher.java
@@ -20,7 +20,7 @@
  */
 final class BatchDispatcher {
     private static final int MAX_LISTS = 16;
-    /** Limits the memory that a wrong entry count in the input reserves before the entries are read. */
+    /** Limits the memory reserved before the entries are read, as the count in the input may be wrong. */
     private static final int MAX_INITIAL_CAPACITY = 1024;
     private static final Outcome[] OUTCOMES = Outcome.values();
     private static final ListUpdateType[] LIST_UPDATE_TYPES = ListUpdateType.values();
@@ -80,7 +80,7 @@
         return balancer;
     }
 
-    /** Creates the balancer of a sidecar that starts, and replaces the one it had before. */
+    /** Creates and starts the balancer of a sidecar; it replaces an earlier one. */
     private void provision(long now, FrameReader in) {
         int sidecar = in.u16();
         long seed = in.i64();
@@ -90,11 +90,11 @@
         balancer.start(now);
     }
 
-    /** Passes an update of the upstream list on; the list itself has been defined in a record before. */
+    /** Passes on an update of the upstream list; an earlier record has defined the list itself. */
     private void membership(long now, FrameReader in) {
         Balancer balancer = balancer(in);
         ListUpdateType updateType = in.enumValue(LIST_UPDATE_TYPES, in.u8(), "form");
-        in.i64(); // not used
+        in.i64(); // a field that is not used
         long listNumber = in.u32();
         if (updateType == ListUpdateType.FAILED) {
             balancer.listUpdated(now, updateType, List.of());
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Passes a client's request on, without a response reserve. The bits of its flags: 1 if it has a cost
+     * Passes on a client's request, with a response reserve of 0. The bits of its flags: 1 if it has a cost
      * hint, 2 for a client retry, 4 for a write.
      */
     private void submit(long now, FrameReader in) {
@@ -124,7 +124,7 @@
                         (flags & 2) != 0, (flags & 4) != 0));
     }
 
-    /** Defines the upstream list of a number, or replaces it. */
+    /** Reads a numbered upstream list, which replaces an earlier one with the same number. */
     private void defineList(FrameReader in) {
         long listNumber = in.u32();
         if (listNumber >= MAX_LISTS) {
--- a/src/main/java/pondridge/adapter/FrameReader.java
+++ b/src/main/java/pondridge/adapter/FrameReader.java
@@ -38,7 +38,7 @@
         buffer.position(recordEnd);
     }
 
-    /** Where the record begins in the frame's body, for error messages. */
+    /** The offset of the current record in the frame's body, for error messages. */
     int recordStart() {
         return recordStart;
     }
@@ -47,7 +47,7 @@
         return !buffer.hasRemaining();
     }
 
-    /** Checks that the record has at least this many bytes left. */
+    /** Throws an error if the record has fewer bytes left. */
     private void requireBytes(long count) {
         if (count > recordEnd - buffer.position()) {
             throw new WireException("field cut short in the record at byte " + recordStart);
--- a/src/main/java/pondridge/adapter/ReplyFrame.java
+++ b/src/main/java/pondridge/adapter/ReplyFrame.java
@@ -18,7 +18,7 @@
  * and 2 bytes of sidecar number.
  */
 final class ReplyFrame {
-    /** Stands for the load report of an attempt or a probe that came without one. */
+    /** The load report that is passed on for an event without one. */
     static final float[] EMPTY_LOAD_REPORT = {};
     private static final int HEADER_BYTES = 8;
 
