--- a/src/main/java/pondridge/testbed/Invariant.java
+++ b/src/main/java/pondridge/testbed/Invariant.java
@@ -1,29 +1,35 @@
 package pondridge.testbed;
 
-/** What has to hold whatever fails; the bounds are those of the protocol page and of the standing test. */
+/**
+ * The properties that have to hold under every fault. {@link InvariantChecker} checks most of them after a
+ * run; violations of the others are reported by the class that observes them.
+ */
 enum Invariant {
-    /** A request taken gets one whole answer, at the latest half a second after its time. */
+    /** A request that was sent gets one complete response, at most half a second after its deadline. */
     ANSWERED,
-    /** A request that was read, or forwarded, is not closed upon without an answer. */
+    /** No connection is closed without a response to a request that was read or forwarded. */
     NOT_CLOSED_UPON,
-    /** A served body is one that an upstream made for this very request, unchanged. */
+    /** A served body is one that an upstream sent for this request, unchanged. */
     GENUINE,
-    /** No attempt begins after the request's answer, or after its client has left. */
+    /** No attempt begins after the request's response or after its client has disconnected. */
     NOT_FORWARDED_AFTER_END,
-    /** What is unsafe to repeat is not repeated once it may have run, and no request is tried too often. */
+    /** A request that must not run twice is not sent again once it may have run; attempts are limited. */
     NOT_DUPLICATED,
-    /** An upstream is told at most the time that is left to the client. */
+    /** The deadline that is sent to an upstream is at most the time that the client still waits. */
     DEADLINE_HONEST,
-    /** Nothing is sent to an upstream that drains or has left the list, after a grace. */
+    /** An upstream that drains or has left the list gets no attempts, after a grace period. */
     DRAIN,
-    /** A cold upstream is not given more than it can do. */
+    /** A cold upstream gets no more requests than its reduced capacity allows. */
     SLOW_START,
-    /** A client that sends no proper request gets an error or a close in time. */
+    /** A client that sends no valid request gets an error or a closed connection in time. */
     BAD_CLIENT_DISMISSED,
-    /** A sidecar neither ends unbidden nor fails to start, and after SIGTERM it ends in time. */
+    /**
+     * A sidecar starts in time and exits only when it is told to. If it exits too late after SIGTERM, it is
+     * killed, and its open requests violate the other invariants.
+     */
     ALIVE,
-    /** The sidecar's own check found no broken invariant. */
+    /** The sidecar's own self-check reports no violation. */
     SELF_CHECK,
-    /** Nothing is held for requests that have ended. */
+    /** No file descriptor, connection or request entry is kept for requests that have ended. */
     NO_LEAK
 }
