--- a/src/main/java/pondridge/testbed/Violation.java
+++ b/src/main/java/pondridge/testbed/Violation.java
@@ -1,6 +1,10 @@
 package pondridge.testbed;
 
-/** A broken invariant, with what is needed to trace it. */
+/**
+ * One violation of an invariant.
+ *
+ * @param detail the request, attempt or sidecar concerned, with its times, as the report shows it
+ */
 record Violation(Invariant invariant, String detail) {
     @Override
     public String toString() {
