--- a/src/main/java/pondridge/testbed/RequestClass.java
+++ b/src/main/java/pondridge/testbed/RequestClass.java
@@ -1,12 +1,12 @@
 package pondridge.testbed;
 
-/** The classes of request in the testbed's settings, one for each effect that a class may have. */
+/** The request classes that the testbed configures, one for each value of {@code semantics}. */
 enum RequestClass {
-    /** Safe to repeat. */
+    /** May be processed more than once without harm. */
     LOOK("repeatable"),
-    /** Repeats are dropped by their key. */
+    /** Upstreams drop repeats that carry the same idempotency key. */
     HOLD("by_key"),
-    /** Unsafe to repeat. */
+    /** Must not be sent again once an upstream may have processed it. */
     BOOK("once");
 
     private final String semantics;
@@ -15,10 +15,12 @@
         this.semantics = semantics;
     }
 
+    /** The name of the class in the configuration and in the header {@code Req-Kind}. */
     String settingName() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 
+    /** The value of the setting {@code semantics}. */
     String semantics() {
         return semantics;
     }
