--- a/src/main/java/pondridge/testbed/AttemptRecord.java
+++ b/src/main/java/pondridge/testbed/AttemptRecord.java
@@ -1,11 +1,12 @@
 package pondridge.testbed;
 
 /**
- * One request as it arrived whole at an upstream; times of {@link System#nanoTime}.
+ * One attempt: a request that arrived in full at an upstream. Times are values of {@link System#nanoTime}.
+ * Reports show the components under their own names.
  *
- * @param number counts the attempts of all requests, so that an answer can be traced to its attempt
- * @param toldMs what {@code Req-Deadline-Ms} said, in milliseconds
- * @param declined whether the upstream turned it away with a promise that it did not run
+ * @param number unique among all attempts of a run; the response's body carries it back to the client
+ * @param toldMs the deadline in the header {@code Req-Deadline-Ms}, in milliseconds, or -1 without the header
+ * @param declined whether the upstream rejected the attempt: it promised not to have processed the request
  */
 record AttemptRecord(long number, String requestId, String upstream, long firstByteAt, long lastByteAt,
         long toldMs, boolean declined) { }
