--- a/src/main/java/pondridge/testbed/InvariantChecker.java
+++ b/src/main/java/pondridge/testbed/InvariantChecker.java
@@ -119,7 +119,7 @@
         if (attempts.size() > SidecarSettings.MAX_ATTEMPTS) {
             broken(Invariant.NOT_DUPLICATED, request + ", attempts " + attempts);
         }
-        if (request.kind == RequestClass.BOOK) {
+        if (request.requestClass == RequestClass.BOOK) {
             long mayHaveRun = attempts.stream().filter(attempt -> !attempt.declined()).count();
             if (mayHaveRun > 1) {
                 broken(Invariant.NOT_DUPLICATED, request + ", attempts " + attempts);
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -107,23 +107,24 @@
     }
 
     private RequestRecord newRequest(int number, int part, Random random) {
-        RequestClass kind = RequestClass.values()[random.nextInt(RequestClass.values().length)];
-        int longest = settings.deadlineMs(kind);
+        RequestClass requestClass = RequestClass.values()[random.nextInt(RequestClass.values().length)];
+        int longest = settings.deadlineMs(requestClass);
         boolean shorter = manners == ClientMix.MIXED && random.nextInt(4) == 0;
         int deadlineMs = shorter ? longest / 2 + random.nextInt(longest / 2) : longest;
         String id = run + "-" + sidecar + "-" + number + "-" + part;
-        return new RequestRecord(id, sidecar, kind, deadlineMs);
+        return new RequestRecord(id, sidecar, requestClass, deadlineMs);
     }
 
     static String text(RequestRecord request, Random random) {
         String common = " /api/" + random.nextInt(1000) + " HTTP/1.1\r\nHost: app.svc\r\nReq-Id: "
-                + request.id + "\r\nReq-Kind: " + request.kind.settingName()
+                + request.id + "\r\nReq-Kind: " + request.requestClass.settingName()
                 + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + request.deadlineMs + "\r\n";
-        if (request.kind == RequestClass.LOOK) {
+        if (request.requestClass == RequestClass.LOOK) {
             return "GET" + common + "\r\n";
         }
         String body = "y".repeat(random.nextInt(LARGEST_BODY));
-        String key = request.kind == RequestClass.HOLD ? "Idempotency-Key: " + request.id + "\r\n" : "";
+        String key = request.requestClass == RequestClass.HOLD
+                ? "Idempotency-Key: " + request.id + "\r\n" : "";
         return "POST" + common + key + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/src/main/java/pondridge/testbed/RequestRecord.java
+++ b/src/main/java/pondridge/testbed/RequestRecord.java
@@ -1,56 +1,61 @@
 package pondridge.testbed;
 
-/** What a client knows of one request; times of {@link System#nanoTime}, 0 for what did not happen. */
+/**
+ * One request as its client observes it. Times are values of {@link System#nanoTime}, and 0 for an event that
+ * has not happened. Written by a thread of the {@link LoadGenerator}, read by the {@link InvariantChecker}.
+ */
 final class RequestRecord {
     /** How the request ended for its client. */
     enum End {
-        /** Still waiting. */
+        /** Not ended: the client still waits. */
         OPEN,
-        /** 200. */
+        /** Response with status 200. */
         SERVED,
-        /** 429 or 503. */
+        /** Response with status 429 or 503. */
         REFUSED,
-        /** Any other status. */
+        /** Response with any other status. */
         FAILED,
-        /** The client closed its connection first. */
+        /** The client closed or reset its connection before the response. */
         LEFT,
-        /** The sidecar did not take the request: refused, or closed over an unread request. */
+        /** The request was not written in full, or the sidecar closed when it may leave a request unread. */
         NOT_TAKEN,
-        /** The connection ended without an answer. */
+        /** The connection ended without a response. */
         CLOSED,
-        /** The connection ended within the answer. */
+        /** The connection ended within the response. */
         TRUNCATED,
-        /** No whole answer until well after the deadline. */
+        /** No complete response within {@link LoadGenerator#ANSWER_SLACK_MS} after the deadline. */
         UNANSWERED
     }
 
     final String id;
     final int sidecar;
-    final RequestClass kind;
+    final RequestClass requestClass;
     final int deadlineMs;
     volatile long sentAt;
     volatile long endedAt;
     volatile End end = End.OPEN;
-    /** The number that the served body carries, -1 where it carries none. */
+    /** The attempt number in the body that was served, or -1 if there is none for this request. */
     volatile long servedAttempt = -1;
+    /** More on how the request ended; "closes" if the response announces the end of its connection. */
     volatile String detail = "";
 
-    RequestRecord(String id, int sidecar, RequestClass kind, int deadlineMs) {
+    RequestRecord(String id, int sidecar, RequestClass requestClass, int deadlineMs) {
         this.id = id;
         this.sidecar = sidecar;
-        this.kind = kind;
+        this.requestClass = requestClass;
         this.deadlineMs = deadlineMs;
     }
 
-    void end(End how, String why) {
+    /** Records the end of the request, at the current time. */
+    void end(End result, String reason) {
         endedAt = System.nanoTime();
-        detail = why;
-        end = how;
+        detail = reason;
+        end = result;
     }
 
     @Override
     public String toString() {
-        return id + " " + kind + " of sidecar " + sidecar + ", " + deadlineMs + " ms, " + end
+        return id + " " + requestClass + " of sidecar " + sidecar + ", " + deadlineMs + " ms, " + end
                 + (endedAt == 0 || sentAt == 0 ? "" : " after " + (endedAt - sentAt) / 1_000_000 + " ms")
                 + (detail.isEmpty() ? "" : " (" + detail + ")");
     }
