--- a/src/main/java/pondridge/testbed/FaultInjector.java
+++ b/src/main/java/pondridge/testbed/FaultInjector.java
@@ -137,7 +137,7 @@
             StubUpstream.sleep(downtimeMs);
             fleet.upstreams().get(upstream).restart();
             fleet.updateListEntry(upstream, "SERVING", System.currentTimeMillis());
-            fleet.history().told(fleet.upstreams().get(upstream).uid(), State.STARTED);
+            fleet.history().listUpdated(fleet.upstreams().get(upstream).uid(), State.STARTED);
         }
     }
 
@@ -146,13 +146,13 @@
         synchronized (upstreamLocks.get(upstream)) {
             String uid = fleet.upstreams().get(upstream).uid();
             fleet.updateListEntry(upstream, "DRAINING", 0);
-            fleet.history().told(uid, State.DRAINING);
+            fleet.history().listUpdated(uid, State.DRAINING);
             StubUpstream.sleep(durationMs);
             fleet.updateListEntry(upstream, "DELETED", 0);
-            fleet.history().told(uid, State.REMOVED);
+            fleet.history().listUpdated(uid, State.REMOVED);
             StubUpstream.sleep(durationMs);
             fleet.updateListEntry(upstream, "SERVING", System.currentTimeMillis());
-            fleet.history().told(uid, State.STARTED);
+            fleet.history().listUpdated(uid, State.STARTED);
         }
     }
 
--- a/src/main/java/pondridge/testbed/InvariantChecker.java
+++ b/src/main/java/pondridge/testbed/InvariantChecker.java
@@ -43,7 +43,7 @@
     static List<Violation> check(RunHistory history, List<SidecarProcess> sidecars, SidecarSettings settings,
             boolean crowded) {
         InvariantChecker oracle = new InvariantChecker(history, sidecars, settings, crowded);
-        oracle.violations.addAll(history.observed());
+        oracle.violations.addAll(history.observedViolations());
         history.requests().forEach(oracle::checkRequest);
         oracle.checkList();
         return oracle.violations;
@@ -83,7 +83,7 @@
 
     /** A kill frees what the process held; SIGTERM only what came when the kill was about to follow. */
     private boolean excused(RequestRecord request) {
-        if (crowded && request.end == End.CLOSED && !history.forwarded(request.id)) {
+        if (crowded && request.end == End.CLOSED && !history.wasForwarded(request.id)) {
             return true;
         }
         for (SidecarProcess.ProcessLifetime life : sidecars.get(request.sidecar).lifetimes()) {
@@ -95,7 +95,7 @@
             boolean ending = life.terminatedAt != 0 && request.end == End.CLOSED
                     && life.terminatedAt - request.sentAt < 0 && life.endedAt != 0
                     && life.startedAt - request.sentAt < 0 && request.sentAt - life.endedAt < 0
-                    && !history.forwarded(request.id);
+                    && !history.wasForwarded(request.id);
             if (heldThen && (killed || ending)) {
                 return true;
             }
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -165,7 +165,7 @@
             }
         } catch (IOException e) {
             connection.reset();
-            if (!used && !history.forwarded(request.id)) {
+            if (!used && !history.wasForwarded(request.id)) {
                 request.end(End.NOT_TAKEN, "connection broke before the request was written");
             }
             return used;
@@ -176,7 +176,7 @@
             return false;
         }
         End how = readAnswer(request, connection);
-        if (how == End.CLOSED && used && !history.forwarded(request.id)) {
+        if (how == End.CLOSED && used && !history.wasForwarded(request.id)) {
             connection.reset();
             return true;
         }
--- a/src/main/java/pondridge/testbed/RunHistory.java
+++ b/src/main/java/pondridge/testbed/RunHistory.java
@@ -8,64 +8,75 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** All that the testbed's parties saw in one run, for the invariants to be checked on. */
+/**
+ * What clients, upstreams and discovery recorded in one run. Their threads record concurrently;
+ * {@link InvariantChecker} checks the invariants on the records afterwards.
+ */
 final class RunHistory {
-    /** The list's word on an upstream: when it became so, and when it counts as told. */
+    /**
+     * One change of an upstream's entry in discovery's list. Times are values of {@link System#nanoTime}.
+     * Reports show the components under their own names.
+     *
+     * @param toldAt when the sidecars must know of the change at the latest
+     */
     record ListEvent(String upstream, State state, long happenedAt, long toldAt) { }
 
-    /** What the list says of an upstream; STARTED is a new start, with the upstream cold. */
+    /** What the list says of an upstream; STARTED means that it has restarted and is cold. */
     enum State { STARTED, DRAINING, REMOVED }
 
-    /** What a silent watch misses counts as told so long after it fell silent (standing test). */
-    private static final long SILENCE_COUNTS_NS = 6_000_000_000L;
+    /** Sidecars must have replaced a silent watch, and know the current list, within this time. */
+    private static final long MAX_UPDATE_DELAY_AFTER_SILENCE_NANOS = 6_000_000_000L;
 
-    /** Whatever discovery has to tell counts as told so long after a new configuration (TERMS). */
-    private static final long MOVE_COUNTS_NS = 4_000_000_000L;
+    /** Sidecars must know the list of a discovery service that has moved within this time. */
+    private static final long MAX_UPDATE_DELAY_AFTER_MOVE_NANOS = 4_000_000_000L;
 
-    /** What the list says before this time counts as told then. */
-    private volatile long listsCountAt = System.nanoTime();
+    /** Sidecars need not know changes of the list before this time. */
+    private volatile long updatesDueAt = System.nanoTime();
     private final Map<String, RequestRecord> requests = new ConcurrentHashMap<>();
     private final Map<String, Queue<AttemptRecord>> attempts = new ConcurrentHashMap<>();
     private final Queue<ListEvent> listEvents = new ConcurrentLinkedQueue<>();
-    private final Queue<Violation> observed = new ConcurrentLinkedQueue<>();
-    private final AtomicLong attemptNumbers = new AtomicLong();
+    private final Queue<Violation> observedViolations = new ConcurrentLinkedQueue<>();
+    private final AtomicLong lastAttemptNumber = new AtomicLong();
 
     void add(RequestRecord request) {
         requests.put(request.id, request);
     }
 
     long nextAttemptNumber() {
-        return attemptNumbers.incrementAndGet();
+        return lastAttemptNumber.incrementAndGet();
     }
 
     void add(AttemptRecord attempt) {
         attempts.computeIfAbsent(attempt.requestId(), id -> new ConcurrentLinkedQueue<>()).add(attempt);
     }
 
-    /** Takes that discovery has told a change; watches that fell silent tell it within 6 s of that. */
-    void told(String upstream, State state) {
+    /**
+     * Records that discovery has sent a change of its list. It counts as known at once, or later if watches
+     * fell silent in the last 6 s or discovery moved in the last 4 s.
+     */
+    void listUpdated(String upstream, State state) {
         long now = System.nanoTime();
-        long toldAt = now + Math.max(0, listsCountAt - now);
+        long toldAt = now + Math.max(0, updatesDueAt - now);
         listEvents.add(new ListEvent(upstream, state, now, toldAt));
     }
 
-    /** Takes that the watches which are open now have fallen silent. */
+    /** Records that the watches that are open now send nothing any more. */
     void watchesSilenced() {
-        countListsAt(System.nanoTime() + SILENCE_COUNTS_NS);
+        postponeUpdates(System.nanoTime() + MAX_UPDATE_DELAY_AFTER_SILENCE_NANOS);
     }
 
-    /** Takes that discovery has moved and the sidecars have been told by a signal. */
+    /** Records that discovery moves and the sidecars get a signal to reload their configuration. */
     void discoveryMoved() {
-        countListsAt(System.nanoTime() + MOVE_COUNTS_NS);
+        postponeUpdates(System.nanoTime() + MAX_UPDATE_DELAY_AFTER_MOVE_NANOS);
     }
 
-    private synchronized void countListsAt(long at) {
-        listsCountAt = Math.max(listsCountAt, at);
+    private synchronized void postponeUpdates(long at) {
+        updatesDueAt = Math.max(updatesDueAt, at);
     }
 
-    /** Takes a violation that one of the parties saw by itself. */
+    /** Records a violation that was observed during the run. */
     void report(Violation violation) {
-        observed.add(violation);
+        observedViolations.add(violation);
     }
 
     RequestRecord request(String id) {
@@ -79,9 +90,9 @@
     /** The attempts of a request, in the order of their numbers. */
     List<AttemptRecord> attempts(String requestId) {
         List<AttemptRecord> found = new ArrayList<>();
-        Queue<AttemptRecord> known = attempts.get(requestId);
-        if (known != null) {
-            found.addAll(known);
+        Queue<AttemptRecord> recorded = attempts.get(requestId);
+        if (recorded != null) {
+            found.addAll(recorded);
         }
         found.sort((a, b) -> Long.compare(a.number(), b.number()));
         return found;
@@ -91,7 +102,8 @@
         return attempts.values().stream().flatMap(Queue::stream).toList();
     }
 
-    boolean forwarded(String requestId) {
+    /** Whether the request reached any upstream. */
+    boolean wasForwarded(String requestId) {
         return attempts.containsKey(requestId);
     }
 
@@ -99,7 +111,8 @@
         return List.copyOf(listEvents);
     }
 
-    List<Violation> observed() {
-        return List.copyOf(observed);
+    /** The violations that were observed during the run. */
+    List<Violation> observedViolations() {
+        return List.copyOf(observedViolations);
     }
 }
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -188,7 +188,7 @@
             fleet.discovery().resetWatches();
             StubUpstream.sleep(2 * LONG.toMillis());
             fleet.updateListEntry(0, "DRAINING", 0);
-            fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
+            fleet.history().listUpdated(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
             assertEquals(List.of(), check(fleet));
@@ -220,7 +220,7 @@
             StubUpstream.sleep(4_000);
             fleet.startLoad(PER_SECOND, ClientMix.PROPER);
             fleet.updateListEntry(0, "DRAINING", 0);
-            fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
+            fleet.history().listUpdated(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
             fleet.stopLoad();
             assertEquals(List.of(), check(fleet));
@@ -261,7 +261,7 @@
             fleet.upstreams().get(0).crash();
             fleet.upstreams().get(0).restart();
             fleet.updateListEntry(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
-            fleet.history().told(fleet.upstreams().get(0).uid(), RunHistory.State.STARTED);
+            fleet.history().listUpdated(fleet.upstreams().get(0).uid(), RunHistory.State.STARTED);
             StubUpstream.sleep(SidecarSettings.RAMP_MS + 500);
             long warmAt = System.nanoTime();
             StubUpstream.sleep(1_000);
