--- a/src/main/java/pondridge/testbed/ResourceUsage.java
+++ b/src/main/java/pondridge/testbed/ResourceUsage.java
@@ -1,9 +1,11 @@
 package pondridge.testbed;
 
 /**
- * What a sidecar process uses at one moment; -1 where it has ended.
+ * The resources that a sidecar process uses at one moment.
  *
- * @param peakMemoryKb the most memory that it has held, in kilobytes
+ * @param descriptors open file descriptors, or -1 if the process has exited
+ * @param peakMemoryKb peak resident memory in kilobytes, or -1 if the process has exited
+ * @param cpuMs processor time used since the process started, in milliseconds, or 0 if it is unknown
  */
 record ResourceUsage(int descriptors, long peakMemoryKb, long cpuMs) {
     private static final int KB_PER_MB = 1024;
