--- a/src/main/java/pondridge/testbed/ClientBehaviour.java
+++ b/src/main/java/pondridge/testbed/ClientBehaviour.java
@@ -2,37 +2,38 @@
 
 import java.util.Random;
 
-/** What a client does with one exchange. */
+/** What a client does in one exchange. Some constants appear in reports under their own names. */
 enum ClientBehaviour {
-    /** Sends a request and waits for its answer. */
-    PROPER,
-    /** Closes the connection before the answer, in order. */
-    LEAVES,
-    /** Resets the connection before the answer. */
+    /** Sends a request and waits for the response. */
+    WELL_BEHAVED,
+    /** Closes the connection, without a reset, before the response. */
+    DISCONNECTS,
+    /** Resets the connection before the response. */
     RESETS,
-    /** Sends the request in pieces. */
+    /** Sends the request in pieces, with pauses between them. */
     WRITES_SLOWLY,
-    /** Sends several requests before the first answer. */
-    RUNS_AHEAD,
-    /** As RUNS_AHEAD, and closes the connection before the last answer. */
-    RUNS_AHEAD_AND_LEAVES,
-    /** Sends what is no request. */
+    /** Sends several requests at once on one connection and reads all responses. */
+    PIPELINES,
+    /** As PIPELINES, but closes the connection before the last response. */
+    PIPELINES_AND_DISCONNECTS,
+    /** Sends bytes that are not an HTTP request. */
     SENDS_RUBBISH,
-    /** Stops in the middle of a request, and stays. */
+    /** Sends a part of a request and keeps the connection open. */
     STOPS_MIDWAY,
-    /** Connects, and sends nothing. */
+    /** Connects and sends nothing. */
     SAYS_NOTHING;
 
-    private static final int[] PARTS = {780, 40, 30, 40, 40, 30, 15, 15, 10};
+    /** How many of a thousand exchanges have each behaviour, in the order of the constants. */
+    private static final int[] PER_MILLE = {780, 40, 30, 40, 40, 30, 15, 15, 10};
 
     static ClientBehaviour draw(Random random) {
         int drawn = random.nextInt(1000);
         for (ClientBehaviour each : values()) {
-            drawn -= PARTS[each.ordinal()];
+            drawn -= PER_MILLE[each.ordinal()];
             if (drawn < 0) {
                 return each;
             }
         }
-        return PROPER;
+        return WELL_BEHAVED;
     }
 }
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -96,12 +96,12 @@
     private void exchange(int number) {
         Random random = SeededRandom.create(number, run + "/" + sidecar);
         ClientBehaviour behaviour = manners == ClientMix.MIXED ? ClientBehaviour.draw(random)
-                : ClientBehaviour.PROPER;
+                : ClientBehaviour.WELL_BEHAVED;
         switch (behaviour) {
             case SENDS_RUBBISH -> expectDismissal("NONSENSE\r\n\r\n", behaviour);
             case STOPS_MIDWAY -> expectDismissal(half(newRequest(number, 0, random), random), behaviour);
             case SAYS_NOTHING -> expectDismissal("", behaviour);
-            case RUNS_AHEAD, RUNS_AHEAD_AND_LEAVES -> runAhead(number, behaviour, random);
+            case PIPELINES, PIPELINES_AND_DISCONNECTS -> runAhead(number, behaviour, random);
             default -> ask(number, behaviour, random);
         }
     }
@@ -171,7 +171,7 @@
             return used;
         }
         request.sentAt = System.nanoTime();
-        if (behaviour == ClientBehaviour.LEAVES || behaviour == ClientBehaviour.RESETS) {
+        if (behaviour == ClientBehaviour.DISCONNECTS || behaviour == ClientBehaviour.RESETS) {
             leave(request, behaviour == ClientBehaviour.RESETS, leaveAfterMs, connection);
             return false;
         }
@@ -255,7 +255,7 @@
         }
         long now = System.nanoTime();
         requests.forEach(each -> each.sentAt = now);
-        boolean leaves = behaviour == ClientBehaviour.RUNS_AHEAD_AND_LEAVES;
+        boolean leaves = behaviour == ClientBehaviour.PIPELINES_AND_DISCONNECTS;
         int answered = leaves ? random.nextInt(count) : count;
         readInTurn(requests, answered, connection);
         if (leaves) {
