--- a/src/main/java/pondridge/testbed/HttpExchange.java
+++ b/src/main/java/pondridge/testbed/HttpExchange.java
@@ -8,19 +8,19 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** One client connection to a sidecar; carries one exchange after the other. */
+/** A client's connection to a sidecar, which carries one HTTP exchange after another. */
 final class HttpExchange implements Closeable {
-    private static final int CONNECT_LIMIT_MS = 3_000;
+    private static final int CONNECT_TIMEOUT_MS = 3_000;
 
     private final Socket socket = new Socket();
     private final InputStream in;
-    private int exchanges;
-    private long idleSince;
+    private int completedExchanges;
+    private long idleSinceNanos;
 
     HttpExchange(InetSocketAddress address) throws IOException {
         try {
             socket.setTcpNoDelay(true);
-            socket.connect(address, CONNECT_LIMIT_MS);
+            socket.connect(address, CONNECT_TIMEOUT_MS);
             in = new BufferedInputStream(socket.getInputStream());
         } catch (IOException e) {
             socket.close();
@@ -28,48 +28,52 @@
         }
     }
 
-    /** Whether an exchange has ended well on this connection before. */
-    boolean used() {
-        return exchanges > 0;
+    /** Whether this connection has completed an exchange. */
+    boolean isReused() {
+        return completedExchanges > 0;
     }
 
-    void done() {
-        exchanges++;
-        idleSince = System.nanoTime();
+    /** Records that an exchange has completed and the connection is idle. */
+    void exchangeCompleted() {
+        completedExchanges++;
+        idleSinceNanos = System.nanoTime();
     }
 
+    /** The time since the last exchange completed, in milliseconds. */
     long idleMs() {
-        return (System.nanoTime() - idleSince) / 1_000_000;
+        return (System.nanoTime() - idleSinceNanos) / 1_000_000;
     }
 
     void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Sends in so many pieces, with pauses between them. */
+    /** Sends the text in about this many pieces, with pauses between them. */
     void sendSlowly(String text, int pieces, long pauseMs) throws IOException {
         int size = Math.max(1, text.length() / pieces);
-        for (int at = 0; at < text.length(); at += size) {
-            if (at > 0) {
+        for (int start = 0; start < text.length(); start += size) {
+            if (start > 0) {
                 StubUpstream.sleep(pauseMs);
             }
-            send(text.substring(at, Math.min(text.length(), at + size)));
+            send(text.substring(start, Math.min(text.length(), start + size)));
         }
     }
 
     /**
-     * Reads the next answer.
+     * Reads the next response. The time that is left now limits each read of the socket, not their sum, so
+     * that a response whose bytes arrive slowly may take longer.
      *
-     * @return the answer, or null if the connection ended before it
-     * @throws java.net.SocketTimeoutException if none came until then
+     * @param untilNanos the time limit, as a value of {@link System#nanoTime}
+     * @return the response, or null if the connection ended before it
+     * @throws java.net.SocketTimeoutException if no bytes arrive in time
      */
     HttpMessage read(long untilNanos) throws IOException {
-        long left = (untilNanos - System.nanoTime()) / 1_000_000;
-        socket.setSoTimeout((int) Math.max(1, left));
+        long remainingMs = (untilNanos - System.nanoTime()) / 1_000_000;
+        socket.setSoTimeout((int) Math.max(1, remainingMs));
         return HttpMessage.read(in);
     }
 
-    /** Closes with a reset. */
+    /** Closes the connection with a reset. */
     void reset() {
         LoopbackServer.reset(socket);
     }
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -156,7 +156,7 @@
     /** True if the connection was closed over the unread request and it may be sent again. */
     private boolean attempt(RequestRecord request, String text, ClientBehaviour behaviour, int leaveAfterMs,
             HttpExchange connection) {
-        boolean used = connection.used();
+        boolean reused = connection.isReused();
         try {
             if (behaviour == ClientBehaviour.WRITES_SLOWLY) {
                 connection.sendSlowly(text, PIECES, Math.min(60, request.deadlineMs / 30));
@@ -165,10 +165,10 @@
             }
         } catch (IOException e) {
             connection.reset();
-            if (!used && !history.wasForwarded(request.id)) {
+            if (!reused && !history.wasForwarded(request.id)) {
                 request.end(End.NOT_TAKEN, "connection broke before the request was written");
             }
-            return used;
+            return reused;
         }
         request.sentAt = System.nanoTime();
         if (behaviour == ClientBehaviour.DISCONNECTS || behaviour == ClientBehaviour.RESETS) {
@@ -176,7 +176,7 @@
             return false;
         }
         End how = readAnswer(request, connection);
-        if (how == End.CLOSED && used && !history.wasForwarded(request.id)) {
+        if (how == End.CLOSED && reused && !history.wasForwarded(request.id)) {
             connection.reset();
             return true;
         }
@@ -312,7 +312,7 @@
     }
 
     private synchronized void rest(HttpExchange connection) {
-        connection.done();
+        connection.exchangeCompleted();
         resting.addLast(connection);
     }
 
