--- a/src/main/java/pondridge/testbed/IdleClients.java
+++ b/src/main/java/pondridge/testbed/IdleClients.java
@@ -4,21 +4,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Idle clients that hold connections to a sidecar and send nothing on them. */
+/** Clients that open connections to a sidecar, send nothing on them, and so use up its file descriptors. */
 final class IdleClients implements AutoCloseable {
     private final List<HttpExchange> connections = new ArrayList<>();
 
-    /** Connects so many times, or as often as the sidecar lets it. */
-    IdleClients(SidecarProcess sidecar, int size) {
+    /** Opens the given number of connections, or fewer if one cannot be opened. */
+    IdleClients(SidecarProcess sidecar, int count) {
         try {
-            for (int i = 0; i < size; i++) {
+            for (int i = 0; i < count; i++) {
                 connections.add(new HttpExchange(sidecar.address()));
             }
         } catch (IOException e) {
-            // The sidecar ends or takes no more; those that are in stay.
+            // The sidecar has exited or accepts no more connections. Those that are open stay open.
         }
     }
 
+    /** Resets all connections. */
     @Override
     public void close() {
         connections.forEach(HttpExchange::reset);
