--- a/src/main/java/pondridge/testbed/Fleet.java
+++ b/src/main/java/pondridge/testbed/Fleet.java
@@ -113,7 +113,7 @@
             generator.start(WARM_UP_EXCHANGES_PER_SECOND);
             StubUpstream.sleep(WARM_UP_MS);
             generator.stop();
-            generator.closeResting();
+            generator.closeIdleConnections();
         }
     }
 
@@ -151,8 +151,8 @@
     void stopLoad() {
         loadGenerators.forEach(LoadGenerator::stop);
         int maxDeadlineMs = settings.deadlinesMs().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        StubUpstream.sleep(maxDeadlineMs + 2 * LoadGenerator.ANSWER_SLACK_MS);
-        loadGenerators.forEach(LoadGenerator::closeResting);
+        StubUpstream.sleep(maxDeadlineMs + 2 * LoadGenerator.RESPONSE_SLACK_MS);
+        loadGenerators.forEach(LoadGenerator::closeIdleConnections);
         loadGenerators.clear();
     }
 
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -11,155 +11,173 @@
 import pondridge.testbed.RequestRecord.End;
 
 /**
- * The application beside one sidecar: begins exchanges at a steady rate whatever becomes of earlier ones, on
- * connections that it keeps, and records how each request ended. What each exchange does depends on the seed
- * and its number alone.
+ * The clients of one sidecar. Begins exchanges at a constant rate, whether or not earlier ones have ended,
+ * each on a client thread; keeps idle connections for reuse and records in the {@link RunHistory} how each
+ * request ended. What is sent in an exchange depends only on the run's name, the sidecar and the exchange's
+ * number.
  */
 final class LoadGenerator {
-    /** Half a second that the standing test allows after a request's time, and the slack on sockets. */
-    static final int ANSWER_SLACK_MS = 550;
-    /** An error or a close is owed within 3 s of connecting; the slack on sockets comes on top. */
+    /**
+     * A response must arrive at most this long after the deadline: 500 ms, plus 50 ms because the time is
+     * taken at the client's socket.
+     */
+    static final int RESPONSE_SLACK_MS = 550;
+    /**
+     * A client that sends no valid request must get an error or a close at most this long after it has
+     * connected: 3 s, plus 50 ms because the time is taken at the client's socket.
+     */
     private static final int BAD_CLIENT_LIMIT_MS = 3_050;
-    private static final int MOST_AHEAD = 4;
-    private static final int LARGEST_BODY = 3_000;
-    private static final int PIECES = 6;
-    /** Beyond this a client closes a connection that has rested. */
-    private static final int LONGEST_REST_MS = 4_000;
+    private static final int MAX_PIPELINED_REQUESTS = 4;
+    /** Upper bound of the random length of a body, exclusive. */
+    private static final int MAX_BODY_BYTES = 3_000;
+    private static final int SLOW_WRITE_PIECES = 6;
+    /** A connection that has been idle for longer is closed instead of reused. */
+    private static final int MAX_IDLE_MS = 4_000;
 
     private final int sidecar;
     private final InetSocketAddress address;
     private final SidecarSettings settings;
     private final RunHistory history;
-    private final ExecutorService threads;
-    private final String run;
-    private final ClientMix manners;
-    private final ArrayDeque<HttpExchange> resting = new ArrayDeque<>();
+    private final ExecutorService clientThreads;
+    private final String runName;
+    private final ClientMix clientMix;
+    private final ArrayDeque<HttpExchange> idleConnections = new ArrayDeque<>();
     private volatile boolean stopped;
-    private Thread pacer;
+    private Thread generatorThread;
 
-    /** How clients behave as a whole. */
+    /** The mixture of behaviours of all clients. */
     enum ClientMix {
-        /** As {@link ClientBehaviour} draws it. */
+        /** A random mixture, as {@link ClientBehaviour#draw} draws it. */
         MIXED,
-        /** Proper requests, on connections that are kept. */
-        PROPER,
-        /** Proper requests, each on a connection of its own. */
-        PROPER_ON_NEW_CONNECTIONS
+        /** Every client waits for its response; connections are reused. */
+        WELL_BEHAVED,
+        /** Every client waits for its response; each request has its own connection. */
+        WELL_BEHAVED_ON_NEW_CONNECTIONS
     }
 
     /**
-     * @param run names the run and its seed
+     * @param runName contains the run's seed; is a part of request ids and seeds the random numbers
      */
     LoadGenerator(int sidecar, InetSocketAddress address, SidecarSettings settings, RunHistory history,
-            ExecutorService threads, String run, ClientMix manners) {
+            ExecutorService clientThreads, String runName, ClientMix clientMix) {
         this.sidecar = sidecar;
         this.address = address;
         this.settings = settings;
         this.history = history;
-        this.threads = threads;
-        this.run = run;
-        this.manners = manners;
+        this.clientThreads = clientThreads;
+        this.runName = runName;
+        this.clientMix = clientMix;
     }
 
-    /** Begins; exchanges go on until {@link #stop}. */
-    void start(int perSecond) {
-        long interval = 1_000_000_000L / perSecond;
-        pacer = LoopbackServer.startThread("load-" + sidecar, () -> {
-            long next = System.nanoTime();
+    /** Starts a thread that begins exchanges until {@link #stop}. */
+    void start(int exchangesPerSecond) {
+        long intervalNanos = 1_000_000_000L / exchangesPerSecond;
+        generatorThread = LoopbackServer.startThread("load-" + sidecar, () -> {
+            long nextAt = System.nanoTime();
             for (int number = 0; !stopped; number++) {
-                int mine = number;
-                threads.execute(() -> exchange(mine));
-                next += interval;
-                StubUpstream.sleep(Math.max(0, (next - System.nanoTime()) / 1_000_000));
+                int exchangeNumber = number;
+                clientThreads.execute(() -> runExchange(exchangeNumber));
+                nextAt += intervalNanos;
+                StubUpstream.sleep(Math.max(0, (nextAt - System.nanoTime()) / 1_000_000));
             }
         });
     }
 
-    /** Begins no more exchanges; those under way go on. */
+    /** Begins no more exchanges. Those that have begun continue. */
     void stop() {
         stopped = true;
         try {
-            pacer.join();
+            generatorThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Closes the connections that are kept. */
-    synchronized void closeResting() {
-        for (HttpExchange connection : resting) {
+    /** Closes the idle connections. */
+    synchronized void closeIdleConnections() {
+        for (HttpExchange connection : idleConnections) {
             connection.reset();
         }
-        resting.clear();
+        idleConnections.clear();
     }
 
-    private void exchange(int number) {
-        Random random = SeededRandom.create(number, run + "/" + sidecar);
-        ClientBehaviour behaviour = manners == ClientMix.MIXED ? ClientBehaviour.draw(random)
+    private void runExchange(int number) {
+        Random random = SeededRandom.create(number, runName + "/" + sidecar);
+        ClientBehaviour behaviour = clientMix == ClientMix.MIXED ? ClientBehaviour.draw(random)
                 : ClientBehaviour.WELL_BEHAVED;
         switch (behaviour) {
-            case SENDS_RUBBISH -> expectDismissal("NONSENSE\r\n\r\n", behaviour);
-            case STOPS_MIDWAY -> expectDismissal(half(newRequest(number, 0, random), random), behaviour);
-            case SAYS_NOTHING -> expectDismissal("", behaviour);
-            case PIPELINES, PIPELINES_AND_DISCONNECTS -> runAhead(number, behaviour, random);
-            default -> ask(number, behaviour, random);
+            case SENDS_RUBBISH -> expectErrorOrClose("NONSENSE\r\n\r\n", behaviour);
+            case STOPS_MIDWAY ->
+                    expectErrorOrClose(truncatedText(newRequest(number, 0, random), random), behaviour);
+            case SAYS_NOTHING -> expectErrorOrClose("", behaviour);
+            case PIPELINES, PIPELINES_AND_DISCONNECTS -> pipelineRequests(number, behaviour, random);
+            default -> sendRequest(number, behaviour, random);
         }
     }
 
-    private RequestRecord newRequest(int number, int part, Random random) {
+    private RequestRecord newRequest(int number, int index, Random random) {
         RequestClass requestClass = RequestClass.values()[random.nextInt(RequestClass.values().length)];
-        int longest = settings.deadlineMs(requestClass);
-        boolean shorter = manners == ClientMix.MIXED && random.nextInt(4) == 0;
-        int deadlineMs = shorter ? longest / 2 + random.nextInt(longest / 2) : longest;
-        String id = run + "-" + sidecar + "-" + number + "-" + part;
+        int maxDeadlineMs = settings.deadlineMs(requestClass);
+        boolean shortened = clientMix == ClientMix.MIXED && random.nextInt(4) == 0;
+        int deadlineMs = shortened ? maxDeadlineMs / 2 + random.nextInt(maxDeadlineMs / 2) : maxDeadlineMs;
+        String id = runName + "-" + sidecar + "-" + number + "-" + index;
         return new RequestRecord(id, sidecar, requestClass, deadlineMs);
     }
 
-    static String text(RequestRecord request, Random random) {
-        String common = " /api/" + random.nextInt(1000) + " HTTP/1.1\r\nHost: app.svc\r\nReq-Id: "
+    /** Returns the request as sent on the wire, with a random path and body length. */
+    static String requestText(RequestRecord request, Random random) {
+        String commonHead = " /api/" + random.nextInt(1000) + " HTTP/1.1\r\nHost: app.svc\r\nReq-Id: "
                 + request.id + "\r\nReq-Kind: " + request.requestClass.settingName()
                 + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + request.deadlineMs + "\r\n";
         if (request.requestClass == RequestClass.LOOK) {
-            return "GET" + common + "\r\n";
+            return "GET" + commonHead + "\r\n";
         }
-        String body = "y".repeat(random.nextInt(LARGEST_BODY));
+        String body = "y".repeat(random.nextInt(MAX_BODY_BYTES));
         String key = request.requestClass == RequestClass.HOLD
                 ? "Idempotency-Key: " + request.id + "\r\n" : "";
-        return "POST" + common + key + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST" + commonHead + key + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String half(RequestRecord request, Random random) {
-        String whole = text(request, random);
-        int headEnd = whole.indexOf("\r\n\r\n");
-        return whole.substring(0, 1 + random.nextInt(headEnd));
+    /** Returns a part of the request that ends within its header section. */
+    private static String truncatedText(RequestRecord request, Random random) {
+        String completeText = requestText(request, random);
+        int headEnd = completeText.indexOf("\r\n\r\n");
+        return completeText.substring(0, 1 + random.nextInt(headEnd));
     }
 
-    private void ask(int number, ClientBehaviour behaviour, Random random) {
+    private void sendRequest(int number, ClientBehaviour behaviour, Random random) {
         RequestRecord request = newRequest(number, 0, random);
-        String text = text(request, random);
-        int leaveAfterMs = random.nextInt(Math.max(1, request.deadlineMs / 4));
-        HttpExchange connection = take();
+        String text = requestText(request, random);
+        int disconnectAfterMs = random.nextInt(Math.max(1, request.deadlineMs / 4));
+        HttpExchange connection = takeConnection();
         if (connection == null) {
             return;
         }
         history.add(request);
-        boolean again = attempt(request, text, behaviour, leaveAfterMs, connection);
-        if (again) {
-            // The sidecar's close crossed the request on a resting connection: once more, on a new one.
-            HttpExchange fresh = open();
-            if (fresh == null || attempt(request, text, behaviour, leaveAfterMs, fresh)) {
+        boolean retry = sendOver(request, text, behaviour, disconnectAfterMs, connection);
+        if (retry) {
+            // The sidecar closed the idle connection while the request was on its way: it is sent once more,
+            // on a new connection.
+            HttpExchange newConnection = openConnection();
+            if (newConnection == null
+                    || sendOver(request, text, behaviour, disconnectAfterMs, newConnection)) {
                 request.end(End.NOT_TAKEN, "closed twice before it was read");
             }
         }
     }
 
-    /** True if the connection was closed over the unread request and it may be sent again. */
-    private boolean attempt(RequestRecord request, String text, ClientBehaviour behaviour, int leaveAfterMs,
-            HttpExchange connection) {
+    /**
+     * Sends the request over this connection and records how it ended.
+     *
+     * @return whether the request can be sent again: a reused connection failed while the request was
+     *     written, or was closed before the request was forwarded
+     */
+    private boolean sendOver(RequestRecord request, String text, ClientBehaviour behaviour,
+            int disconnectAfterMs, HttpExchange connection) {
         boolean reused = connection.isReused();
         try {
             if (behaviour == ClientBehaviour.WRITES_SLOWLY) {
-                connection.sendSlowly(text, PIECES, Math.min(60, request.deadlineMs / 30));
+                connection.sendSlowly(text, SLOW_WRITE_PIECES, Math.min(60, request.deadlineMs / 30));
             } else {
                 connection.send(text);
             }
@@ -172,20 +190,20 @@
         }
         request.sentAt = System.nanoTime();
         if (behaviour == ClientBehaviour.DISCONNECTS || behaviour == ClientBehaviour.RESETS) {
-            leave(request, behaviour == ClientBehaviour.RESETS, leaveAfterMs, connection);
+            disconnect(request, behaviour == ClientBehaviour.RESETS, disconnectAfterMs, connection);
             return false;
         }
-        End how = readAnswer(request, connection);
-        if (how == End.CLOSED && reused && !history.wasForwarded(request.id)) {
+        End end = readResponse(request, connection);
+        if (end == End.CLOSED && reused && !history.wasForwarded(request.id)) {
             connection.reset();
             return true;
         }
-        finish(request, connection, how);
+        finish(request, connection, end);
         return false;
     }
 
-    private void leave(RequestRecord request, boolean withReset, int afterMs, HttpExchange connection) {
-        StubUpstream.sleep(afterMs);
+    private void disconnect(RequestRecord request, boolean withReset, int delayMs, HttpExchange connection) {
+        StubUpstream.sleep(delayMs);
         request.end(End.LEFT, "");
         if (withReset) {
             connection.reset();
@@ -194,18 +212,18 @@
         }
     }
 
-    /** How the request ended; the connection may carry on if it was answered and nothing says otherwise. */
-    private End readAnswer(RequestRecord request, HttpExchange connection) {
-        long until = request.sentAt + (request.deadlineMs + ANSWER_SLACK_MS) * 1_000_000L;
+    /** Waits for the response, records its details, and returns how the request ended. */
+    private End readResponse(RequestRecord request, HttpExchange connection) {
+        long timeoutAt = request.sentAt + (request.deadlineMs + RESPONSE_SLACK_MS) * 1_000_000L;
         try {
-            HttpMessage answer = connection.read(until);
-            if (answer == null) {
+            HttpMessage response = connection.read(timeoutAt);
+            if (response == null) {
                 return End.CLOSED;
             }
-            request.detail = answer.closesConnection() ? "closes" : "";
-            return switch (answer.status()) {
+            request.detail = response.closesConnection() ? "closes" : "";
+            return switch (response.status()) {
                 case 200 -> {
-                    request.servedAttempt = StubUpstream.parseAttemptNumber(request.id, answer.body());
+                    request.servedAttempt = StubUpstream.parseAttemptNumber(request.id, response.body());
                     yield End.SERVED;
                 }
                 case 429, 503 -> End.REFUSED;
@@ -220,31 +238,34 @@
         }
     }
 
-    private void finish(RequestRecord request, HttpExchange connection, End how) {
-        boolean keeps = (how == End.SERVED || how == End.REFUSED || how == End.FAILED)
-                && !request.detail.equals("closes") && manners != ClientMix.PROPER_ON_NEW_CONNECTIONS;
-        request.end(how, request.detail);
-        if (keeps) {
-            rest(connection);
+    private void finish(RequestRecord request, HttpExchange connection, End end) {
+        boolean reusable = (end == End.SERVED || end == End.REFUSED || end == End.FAILED)
+                && !request.detail.equals("closes") && clientMix != ClientMix.WELL_BEHAVED_ON_NEW_CONNECTIONS;
+        request.end(end, request.detail);
+        if (reusable) {
+            keepConnection(connection);
         } else {
             closeQuietly(connection);
         }
     }
 
-    /** Several requests at once; what a close leaves unanswered behind an announced end was not taken. */
-    private void runAhead(int number, ClientBehaviour behaviour, Random random) {
-        HttpExchange connection = open();
+    /**
+     * Sends several requests at once on a new connection. Those behind a response that announces the end of
+     * the connection count as not taken.
+     */
+    private void pipelineRequests(int number, ClientBehaviour behaviour, Random random) {
+        HttpExchange connection = openConnection();
         if (connection == null) {
             return;
         }
         List<RequestRecord> requests = new ArrayList<>();
         StringBuilder text = new StringBuilder();
-        int count = 2 + random.nextInt(MOST_AHEAD - 1);
+        int count = 2 + random.nextInt(MAX_PIPELINED_REQUESTS - 1);
         for (int i = 0; i < count; i++) {
             RequestRecord request = newRequest(number, i, random);
             history.add(request);
             requests.add(request);
-            text.append(text(request, random));
+            text.append(requestText(request, random));
         }
         try {
             connection.send(text.toString());
@@ -255,68 +276,69 @@
         }
         long now = System.nanoTime();
         requests.forEach(each -> each.sentAt = now);
-        boolean leaves = behaviour == ClientBehaviour.PIPELINES_AND_DISCONNECTS;
-        int answered = leaves ? random.nextInt(count) : count;
-        readInTurn(requests, answered, connection);
-        if (leaves) {
+        boolean disconnects = behaviour == ClientBehaviour.PIPELINES_AND_DISCONNECTS;
+        int responseCount = disconnects ? random.nextInt(count) : count;
+        readResponses(requests, responseCount, connection);
+        if (disconnects) {
             requests.stream().filter(each -> each.end == End.OPEN)
                     .forEach(each -> each.end(End.LEFT, "ran ahead"));
         }
         closeQuietly(connection);
     }
 
-    private void readInTurn(List<RequestRecord> requests, int answered, HttpExchange connection) {
-        End last = End.OPEN;
-        boolean announced = false;
-        for (RequestRecord request : requests.subList(0, answered)) {
-            if (announced) {
-                last = End.NOT_TAKEN;
-            } else if (last != End.CLOSED && last != End.TRUNCATED && last != End.UNANSWERED) {
-                last = readAnswer(request, connection);
+    private void readResponses(List<RequestRecord> requests, int responseCount, HttpExchange connection) {
+        End lastEnd = End.OPEN;
+        boolean closeAnnounced = false;
+        for (RequestRecord request : requests.subList(0, responseCount)) {
+            if (closeAnnounced) {
+                lastEnd = End.NOT_TAKEN;
+            } else if (lastEnd != End.CLOSED && lastEnd != End.TRUNCATED && lastEnd != End.UNANSWERED) {
+                lastEnd = readResponse(request, connection);
             }
-            announced |= request.detail.equals("closes");
-            request.end(last, request.detail);
+            closeAnnounced |= request.detail.equals("closes");
+            request.end(lastEnd, request.detail);
         }
     }
 
-    private void expectDismissal(String text, ClientBehaviour behaviour) {
+    private void expectErrorOrClose(String text, ClientBehaviour behaviour) {
         long startedAt = System.nanoTime();
         try (HttpExchange connection = new HttpExchange(address)) {
             long connectedAt = System.nanoTime();
             connection.send(text);
-            HttpMessage answer = connection.read(connectedAt + BAD_CLIENT_LIMIT_MS * 1_000_000L);
-            if (answer != null && answer.status() < 400) {
+            HttpMessage response = connection.read(connectedAt + BAD_CLIENT_LIMIT_MS * 1_000_000L);
+            if (response != null && response.status() < 400) {
                 history.report(new Violation(Invariant.BAD_CLIENT_DISMISSED,
-                        "sidecar " + sidecar + " answered " + answer.status() + " to " + behaviour));
+                        "sidecar " + sidecar + " answered " + response.status() + " to " + behaviour));
             }
         } catch (SocketTimeoutException e) {
             history.report(new Violation(Invariant.BAD_CLIENT_DISMISSED,
                     "sidecar " + sidecar + " kept " + behaviour + " since " + startedAt / 1_000_000));
         } catch (IOException e) {
-            // Closed, or not even connected.
+            // The sidecar closed the connection or did not accept it.
         }
     }
 
-    /** A connection that rests, or a new one; null where none can be had. */
-    private HttpExchange take() {
+    /** Returns an idle connection, or a new one, or null if none can be opened. */
+    private HttpExchange takeConnection() {
         synchronized (this) {
-            while (!resting.isEmpty()) {
-                HttpExchange connection = resting.pollLast();
-                if (connection.idleMs() < LONGEST_REST_MS) {
+            while (!idleConnections.isEmpty()) {
+                HttpExchange connection = idleConnections.pollLast();
+                if (connection.idleMs() < MAX_IDLE_MS) {
                     return connection;
                 }
                 closeQuietly(connection);
             }
         }
-        return open();
+        return openConnection();
     }
 
-    private synchronized void rest(HttpExchange connection) {
+    private synchronized void keepConnection(HttpExchange connection) {
         connection.exchangeCompleted();
-        resting.addLast(connection);
+        idleConnections.addLast(connection);
     }
 
-    private HttpExchange open() {
+    /** Returns a new connection, or null if it cannot be opened. */
+    private HttpExchange openConnection() {
         try {
             return new HttpExchange(address);
         } catch (IOException e) {
@@ -328,7 +350,7 @@
         try {
             connection.close();
         } catch (IOException e) {
-            // It was broken already.
+            // The connection is broken; nothing more has to be closed.
         }
     }
 }
--- a/src/main/java/pondridge/testbed/RequestRecord.java
+++ b/src/main/java/pondridge/testbed/RequestRecord.java
@@ -23,7 +23,7 @@
         CLOSED,
         /** The connection ended within the response. */
         TRUNCATED,
-        /** No complete response within {@link LoadGenerator#ANSWER_SLACK_MS} after the deadline. */
+        /** No complete response within {@link LoadGenerator#RESPONSE_SLACK_MS} after the deadline. */
         UNANSWERED
     }
 
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -47,7 +47,7 @@
     /** Plays bursts under load; nothing may break, and nearly everything has to be served. */
     private SoakReport play(Fleet fleet, Burst burst) throws IOException {
         fleet.start();
-        fleet.startLoad(PER_SECOND, ClientMix.PROPER_ON_NEW_CONNECTIONS);
+        fleet.startLoad(PER_SECOND, ClientMix.WELL_BEHAVED_ON_NEW_CONNECTIONS);
         for (int i = 0; i < BURSTS; i++) {
             StubUpstream.sleep(BURST_SPACING_MS);
             burst.begin(fleet);
@@ -183,7 +183,7 @@
     void drainWasMissedAfterAWatchFoundNoSocket() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
-            fleet.startLoad(PER_SECOND, ClientMix.PROPER);
+            fleet.startLoad(PER_SECOND, ClientMix.WELL_BEHAVED);
             fleet.sidecars().get(0).faults().fail(SystemFault.SOCKET, Errno.ENOBUFS, LONG);
             fleet.discovery().resetWatches();
             StubUpstream.sleep(2 * LONG.toMillis());
@@ -218,7 +218,7 @@
             fleet.sidecars().get(0).faults().fail(SystemFault.OPEN, Errno.EMFILE, Duration.ofMillis(500));
             fleet.moveDiscovery(1);
             StubUpstream.sleep(4_000);
-            fleet.startLoad(PER_SECOND, ClientMix.PROPER);
+            fleet.startLoad(PER_SECOND, ClientMix.WELL_BEHAVED);
             fleet.updateListEntry(0, "DRAINING", 0);
             fleet.history().listUpdated(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
@@ -253,7 +253,7 @@
     private void restartBehindStep(Duration sidecarsStep, Duration discoverysStep) throws IOException {
         try (Fleet fleet = new Fleet(SHORT_DEADLINES, 1, 3, SEED, folder, List.of())) {
             fleet.start();
-            fleet.startLoad(2 * PER_SECOND, ClientMix.PROPER);
+            fleet.startLoad(2 * PER_SECOND, ClientMix.WELL_BEHAVED);
             StubUpstream.sleep(1_000);
             fleet.updateListEntry(0, "SERVING", System.currentTimeMillis());
             StubUpstream.sleep(1_000);
@@ -280,7 +280,7 @@
         try (Fleet fleet = new Fleet(longDeadlines, 1, 4, SEED, folder, List.of())) {
             fleet.start();
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HANGING));
-            fleet.startLoad(20, ClientMix.PROPER);
+            fleet.startLoad(20, ClientMix.WELL_BEHAVED);
             StubUpstream.sleep(500);
             FaultInjector.terminateAll(fleet);
             fleet.stopLoad();
@@ -310,7 +310,7 @@
                 String id = "ahead-" + number + "-" + i;
                 RequestRecord request = new RequestRecord(id, 0, RequestClass.LOOK, 400);
                 fleet.history().add(request);
-                text.append(LoadGenerator.text(request, SeededRandom.create(SEED, request.id)));
+                text.append(LoadGenerator.requestText(request, SeededRandom.create(SEED, request.id)));
             }
             client.send(text.toString());
             long now = System.nanoTime();
