--- a/src/main/java/pondridge/testbed/Main.java
+++ b/src/main/java/pondridge/testbed/Main.java
@@ -51,7 +51,7 @@
                 boolean crowded = crowdEvery > 0 && each % crowdEvery == 0;
                 SoakPlan plan = SoakPlan.draw(each, size, crowded);
                 SoakReport report = new Soak(plan, out.resolve("seed-" + each)).run();
-                System.out.println(seeds == 1 ? report.text() : report.line());
+                System.out.println(seeds == 1 ? report.text() : report.summary());
                 broken += report.violations().isEmpty() ? 0 : 1;
             }
             System.out.println(seeds - broken + " of " + seeds + " seeds without a violation");
--- a/src/main/java/pondridge/testbed/SoakReport.java
+++ b/src/main/java/pondridge/testbed/SoakReport.java
@@ -11,10 +11,11 @@
 import org.HdrHistogram.Histogram;
 import pondridge.testbed.RequestRecord.End;
 
-/** The result of one run: counts, percentiles, what was injected, and the violations found. */
+/** The report on one run: counts of requests by their end, latencies, injected faults and violations. */
 final class SoakReport {
-    private static final int MOST_SHOWN = 20;
-    private static final int LONGEST_MS = 60_000;
+    private static final int MAX_SHOWN_VIOLATIONS = 20;
+    /** Longer latencies are recorded as this value. */
+    private static final int MAX_LATENCY_MS = 60_000;
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -22,7 +23,9 @@
     private final List<Violation> violations;
     private final Map<End, Integer> ends = new EnumMap<>(End.class);
     private final Map<SystemFault, Long> injected = new EnumMap<>(SystemFault.class);
-    private final Histogram latencyMs = new Histogram(LONGEST_MS, 3);
+    /** Latencies of the requests that got a response. */
+    private final Histogram latencyMs = new Histogram(MAX_LATENCY_MS, 3);
+    /** One line for each sidecar. */
     private final List<String> resources = new ArrayList<>();
     private int attempts;
 
@@ -33,13 +36,13 @@
         for (RequestRecord request : history.requests()) {
             ends.merge(request.end, 1, Integer::sum);
             if (request.end == End.SERVED || request.end == End.REFUSED || request.end == End.FAILED) {
-                long took = (request.endedAt - request.sentAt) / 1_000_000;
-                latencyMs.recordValue(Math.min(LONGEST_MS, took));
+                long elapsedMs = (request.endedAt - request.sentAt) / 1_000_000;
+                latencyMs.recordValue(Math.min(MAX_LATENCY_MS, elapsedMs));
             }
         }
     }
 
-    /** Takes which calls were made to fail in one sidecar, and what it used. */
+    /** Adds the system calls that were made to fail in one sidecar, and the resources that it used. */
     void add(SidecarProcess sidecar, ResourceUsage usage) {
         sidecar.faults().injectedCounts().forEach((fault, count) -> injected.merge(fault, count, Long::sum));
         resources.add("sidecar " + sidecar.number() + ": " + usage);
@@ -49,35 +52,38 @@
         return violations;
     }
 
+    /** Returns how many requests ended this way. */
     int count(End end) {
         return ends.getOrDefault(end, 0);
     }
 
+    /** Returns how many requests were recorded. */
     int requests() {
         return ends.values().stream().mapToInt(Integer::intValue).sum();
     }
 
+    /** Returns how many calls were made to fail by this fault, in all sidecars. */
     long injected(SystemFault fault) {
         return injected.getOrDefault(fault, 0L);
     }
 
-    /** One line, for a list of many runs. */
-    String line() {
+    /** Returns the counts of the report on one line. */
+    String summary() {
         return "seed " + plan.seed() + (plan.idleClients() ? " crowded" : "") + ": " + requests()
                 + " requests " + ends + ", " + attempts + " attempts, p99 "
                 + latencyMs.getValueAtPercentile(99) + " ms, violations " + violations.size()
-                + (violations.isEmpty() ? "" : " " + byInvariant());
+                + (violations.isEmpty() ? "" : " " + countByInvariant());
     }
 
-    private Map<Invariant, Integer> byInvariant() {
+    private Map<Invariant, Integer> countByInvariant() {
         Map<Invariant, Integer> counts = new TreeMap<>();
         violations.forEach(each -> counts.merge(each.invariant(), 1, Integer::sum));
         return counts;
     }
 
-    /** The whole report, for a person. */
+    /** Returns the report as text, with the first {@link #MAX_SHOWN_VIOLATIONS} violations. */
     String text() {
-        StringBuilder text = new StringBuilder(line()).append('\n');
+        StringBuilder text = new StringBuilder(summary()).append('\n');
         text.append("settings: ").append(plan.settings()).append('\n');
         for (double percentile : PERCENTILES) {
             text.append("answered within, percentile ").append(percentile).append(": ")
@@ -86,15 +92,15 @@
         text.append("calls made to fail: ").append(injected).append('\n');
         resources.forEach(each -> text.append(each).append('\n'));
         plan.faults().forEach(each -> text.append("trouble at ").append(each).append('\n'));
-        violations.stream().limit(MOST_SHOWN)
+        violations.stream().limit(MAX_SHOWN_VIOLATIONS)
                 .forEach(each -> text.append("VIOLATION ").append(each).append('\n'));
-        if (violations.size() > MOST_SHOWN) {
-            text.append("and ").append(violations.size() - MOST_SHOWN).append(" more\n");
+        if (violations.size() > MAX_SHOWN_VIOLATIONS) {
+            text.append("and ").append(violations.size() - MAX_SHOWN_VIOLATIONS).append(" more\n");
         }
         return text.toString();
     }
 
-    /** The same for programs. */
+    /** Returns the counts, latencies and all violations as JSON, for programs. */
     ObjectNode json() {
         ObjectNode root = JSON.createObjectNode().put("seed", plan.seed()).put("crowded", plan.idleClients())
                 .put("requests", requests()).put("attempts", attempts);
@@ -106,8 +112,8 @@
         }
         ObjectNode calls = root.putObject("injected");
         injected.forEach((fault, count) -> calls.put(fault.name(), count));
-        ArrayNode broken = root.putArray("violations");
-        violations.forEach(each -> broken.add(each.toString()));
+        ArrayNode violationTexts = root.putArray("violations");
+        violations.forEach(each -> violationTexts.add(each.toString()));
         return root;
     }
 }
--- a/src/test/java/pondridge/testbed/SoakIT.java
+++ b/src/test/java/pondridge/testbed/SoakIT.java
@@ -20,7 +20,7 @@
     void noInvariantBreaksUnderOverlappingFaults(long seed) throws IOException {
         SoakPlan plan = SoakPlan.draw(seed, SIZE, false);
         SoakReport report = new Soak(plan, Path.of("target", "soak", "ci-" + seed)).run();
-        System.out.println(report.line());
+        System.out.println(report.summary());
         assertEquals(List.of(), report.violations(), report::text);
     }
 
