--- a/src/main/java/pondridge/testbed/Soak.java
+++ b/src/main/java/pondridge/testbed/Soak.java
@@ -8,18 +8,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One run of the randomized fault soak: a fleet under load and troubles, a quiet time in which everything
- * held for ended requests has to be released, and an orderly end under load.
+ * One run of the randomized fault soak, in three phases: a fleet under load and faults; a time without
+ * load, in which the sidecars have to release what they use for requests that have ended; and the
+ * termination of all sidecars under load.
  */
 final class Soak {
-    /** So many programs that start at once leave each other no processor; a restart has no such pause. */
+    /**
+     * Pause after the start: so many processes that start at the same time use all of the processor time. A
+     * sidecar that is restarted later gets no such pause.
+     */
     private static final int SETTLE_MS = 1_500;
-    private static final int CROWD_MS = 3_000;
-    private static final int QUIET_LOAD_MS = 1_000;
-    /** Longer than connections may rest, plus the interval of the sidecar's lines on its state. */
-    private static final int RELEASE_MS = 10_500;
-    /** The process's own files, listener, selector, peer socket, watch, and some for the JVM. */
-    private static final int RESTING_DESCRIPTORS = 40;
+    /** How long idle clients keep their connections. */
+    private static final int IDLE_CLIENTS_MS = 3_000;
+    /** How long the load continues after the faults. */
+    private static final int FAULT_FREE_LOAD_MS = 1_000;
+    /** More than the idle timeout of connections and the interval of the sidecar's state lines together. */
+    private static final int RELEASE_WAIT_MS = 10_500;
+    /**
+     * The descriptors that a sidecar may have open without load: its files, listener, selector, peer socket
+     * and watch, and some for the JVM.
+     */
+    private static final int MAX_IDLE_DESCRIPTORS = 40;
 
     private final SoakPlan plan;
     private final Path folder;
@@ -29,38 +38,39 @@
         this.folder = folder;
     }
 
-    /** Plays the run and checks the invariants; the report is also left in the folder. */
+    /** Executes the run, checks the invariants, and writes the report to the folder as text and JSON. */
     SoakReport run() throws IOException {
         Files.createDirectories(folder);
         try (Fleet fleet = new Fleet(plan.settings(), plan.sidecars(), plan.upstreams(), plan.seed(), folder,
-                logs())) {
+                logDestinations())) {
             fleet.start();
             StubUpstream.sleep(SETTLE_MS);
             fleet.startLoad(plan.exchangesPerSecond(), LoadGenerator.ClientMix.MIXED);
-            makeTrouble(fleet);
-            StubUpstream.sleep(QUIET_LOAD_MS);
+            injectFaults(fleet);
+            StubUpstream.sleep(FAULT_FREE_LOAD_MS);
             fleet.stopLoad();
-            List<ResourceUsage> usages = expectRelease(fleet);
-            endUnderLoad(fleet);
+            List<ResourceUsage> usages = checkResourcesReleased(fleet);
+            terminateUnderLoad(fleet);
             return report(fleet, usages);
         }
     }
 
-    private List<SidecarProcess.LogDestination> logs() {
-        List<SidecarProcess.LogDestination> logs = new ArrayList<>();
+    private List<SidecarProcess.LogDestination> logDestinations() {
+        List<SidecarProcess.LogDestination> logDestinations = new ArrayList<>();
         for (int i = 0; i < plan.blockedLogs(); i++) {
-            logs.add(SidecarProcess.LogDestination.FULL_PIPE);
-            logs.add(SidecarProcess.LogDestination.FULL_DISK);
+            logDestinations.add(SidecarProcess.LogDestination.FULL_PIPE);
+            logDestinations.add(SidecarProcess.LogDestination.FULL_DISK);
         }
-        return logs;
+        return logDestinations;
     }
 
-    private void makeTrouble(Fleet fleet) {
-        Thread crowd = plan.idleClients() ? LoopbackServer.startThread("crowd", () -> crowd(fleet)) : null;
+    private void injectFaults(Fleet fleet) {
+        Thread idleClientsThread = plan.idleClients()
+                ? LoopbackServer.startThread("idle-clients", () -> runIdleClients(fleet)) : null;
         new FaultInjector(fleet).run(plan.faults());
-        if (crowd != null) {
+        if (idleClientsThread != null) {
             try {
-                crowd.join();
+                idleClientsThread.join();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -68,24 +78,29 @@
         fleet.sidecars().forEach(each -> each.faults().clear());
     }
 
-    private void crowd(Fleet fleet) {
-        List<IdleClients> crowds = new ArrayList<>();
+    /** Uses up half of the file descriptors of every second sidecar for a time. */
+    private void runIdleClients(Fleet fleet) {
+        List<IdleClients> idleClients = new ArrayList<>();
         for (int i = 0; i < fleet.sidecars().size(); i += 2) {
-            crowds.add(new IdleClients(fleet.sidecars().get(i), plan.settings().descriptors() / 2));
+            idleClients.add(new IdleClients(fleet.sidecars().get(i), plan.settings().descriptors() / 2));
         }
-        StubUpstream.sleep(CROWD_MS);
-        crowds.forEach(IdleClients::close);
+        StubUpstream.sleep(IDLE_CLIENTS_MS);
+        idleClients.forEach(IdleClients::close);
     }
 
-    /** What each sidecar uses after a rest. */
-    private List<ResourceUsage> expectRelease(Fleet fleet) throws IOException {
-        StubUpstream.sleep(RELEASE_MS);
+    /**
+     * Waits without load and reports a violation for each sidecar that has not released its resources.
+     *
+     * @return what each sidecar uses at the end of the wait
+     */
+    private List<ResourceUsage> checkResourcesReleased(Fleet fleet) throws IOException {
+        StubUpstream.sleep(RELEASE_WAIT_MS);
         List<ResourceUsage> usages = new ArrayList<>();
         for (SidecarProcess sidecar : fleet.sidecars()) {
             ResourceUsage usage = ResourceUsage.of(sidecar);
             usages.add(usage);
             String name = "sidecar " + sidecar.number();
-            if (usage.descriptors() > RESTING_DESCRIPTORS) {
+            if (usage.descriptors() > MAX_IDLE_DESCRIPTORS) {
                 fleet.history().report(new Violation(Invariant.NO_LEAK, name + " rests with " + usage));
             }
             if (sidecar.reportedConnections() > 0 || sidecar.reportedRequests() > 0) {
@@ -101,7 +116,7 @@
         return usages;
     }
 
-    private void endUnderLoad(Fleet fleet) {
+    private void terminateUnderLoad(Fleet fleet) {
         fleet.startLoad(plan.exchangesPerSecond(), LoadGenerator.ClientMix.MIXED);
         StubUpstream.sleep(TimeUnit.SECONDS.toMillis(1));
         FaultInjector.terminateAll(fleet);
