--- a/src/main/java/pondridge/testbed/Main.java
+++ b/src/main/java/pondridge/testbed/Main.java
@@ -7,18 +7,21 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The testbed's command line. */
+/** The command line of the testbed. */
 @Command(name = "testbed", mixinStandardHelpOptions = true, subcommands = Main.SoakCommand.class,
         description = "Plays real sidecars against stub upstreams under seeded faults.")
 public final class Main {
     private Main() { }
 
-    /** Runs one command. Exit status: 0 if no invariant broke, 1 if one did, 2 for a wrong command line. */
+    /** Runs one command. Exit status: 0 without violations, 1 with violations, 2 for invalid arguments. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new Main()).execute(args));
     }
 
-    /** Plays the randomized fault soak for one seed or a row of seeds. */
+    /**
+     * Runs the randomized fault soak for one seed or for consecutive seeds. The help text shows the names of
+     * the fields.
+     */
     @Command(name = "soak", mixinStandardHelpOptions = true,
             description = "Plays the randomized fault soak; the exit status is 1 if an invariant broke.")
     static final class SoakCommand implements Callable<Integer> {
@@ -45,17 +48,17 @@
 
         @Override
         public Integer call() throws IOException {
-            int broken = 0;
+            int violatedSeeds = 0;
             SoakPlan.Size size = new SoakPlan.Size(sidecars, upstreams, seconds, rate, troubles);
             for (long each = seed; each < seed + seeds; each++) {
-                boolean crowded = crowdEvery > 0 && each % crowdEvery == 0;
-                SoakPlan plan = SoakPlan.draw(each, size, crowded);
+                boolean idleClients = crowdEvery > 0 && each % crowdEvery == 0;
+                SoakPlan plan = SoakPlan.draw(each, size, idleClients);
                 SoakReport report = new Soak(plan, out.resolve("seed-" + each)).run();
                 System.out.println(seeds == 1 ? report.text() : report.summary());
-                broken += report.violations().isEmpty() ? 0 : 1;
+                violatedSeeds += report.violations().isEmpty() ? 0 : 1;
             }
-            System.out.println(seeds - broken + " of " + seeds + " seeds without a violation");
-            return broken == 0 ? 0 : 1;
+            System.out.println(seeds - violatedSeeds + " of " + seeds + " seeds without a violation");
+            return violatedSeeds == 0 ? 0 : 1;
         }
     }
 }
