--- a/src/main/java/pondridge/testbed/Main.java
+++ b/src/main/java/pondridge/testbed/Main.java
@@ -9,7 +9,7 @@
 
 /** The command line of the testbed. */
 @Command(name = "testbed", mixinStandardHelpOptions = true, subcommands = Main.SoakCommand.class,
-        description = "Plays real sidecars against stub upstreams under seeded faults.")
+        description = "Runs real sidecars against stub upstreams under seeded faults.")
 public final class Main {
     private Main() { }
 
@@ -23,25 +23,28 @@
      * the fields.
      */
     @Command(name = "soak", mixinStandardHelpOptions = true,
-            description = "Plays the randomized fault soak; the exit status is 1 if an invariant broke.")
+            description = "Runs the randomized fault soak; the exit status is 1 if it finds a violation.")
     static final class SoakCommand implements Callable<Integer> {
         @Option(names = "--seed", description = "first seed (default: ${DEFAULT-VALUE})")
         private long seed = 1;
-        @Option(names = "--seeds", description = "how many seeds in a row (default: ${DEFAULT-VALUE})")
+        @Option(names = "--seeds", description = "how many consecutive seeds (default: ${DEFAULT-VALUE})")
         private int seeds = 1;
         @Option(names = "--sidecars", description = "sidecar processes (default: ${DEFAULT-VALUE})")
         private int sidecars = 12;
         @Option(names = "--upstreams", description = "stub upstreams (default: ${DEFAULT-VALUE})")
         private int upstreams = 8;
-        @Option(names = "--seconds", description = "troubled time (default: ${DEFAULT-VALUE})")
+        @Option(names = "--seconds",
+                description = "length of the fault phase in seconds (default: ${DEFAULT-VALUE})")
         private int seconds = 20;
-        @Option(names = "--rate", description = "exchanges a second at each sidecar (default: "
+        @Option(names = "--rate", description = "exchanges per second at each sidecar (default: "
                 + "${DEFAULT-VALUE})")
         private int rate = 30;
-        @Option(names = "--troubles", description = "troubles begun in a second (default: ${DEFAULT-VALUE})")
+        @Option(names = "--troubles",
+                description = "faults that begin per second (default: ${DEFAULT-VALUE})")
         private int troubles = 6;
-        @Option(names = "--crowd-every", description = "every n-th seed has a crowd; 0 for none (default: "
-                + "${DEFAULT-VALUE})")
+        @Option(names = "--crowd-every",
+                description = "every n-th seed has idle clients; 0 for none (default: "
+                        + "${DEFAULT-VALUE})")
         private int crowdEvery = 5;
         @Option(names = "--out", description = "folder for logs and reports (default: ${DEFAULT-VALUE})")
         private Path out = Path.of("target", "soak");
