--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -14,47 +14,51 @@
 import pondridge.testbed.LoadGenerator.ClientMix;
 import pondridge.testbed.RequestRecord.End;
 
-/** A real sidecar under one kind of fault at a time; tests are named after the failure they guard against. */
+/**
+ * Runs a real sidecar under one type of fault at a time. The tests are named after the failures that they
+ * guard against.
+ */
 @Execution(ExecutionMode.CONCURRENT)
 class FaultInjectionIT {
     private static final long SEED = 36;
-    private static final int PER_SECOND = 150;
-    private static final int BURSTS = 4;
+    private static final int EXCHANGES_PER_SECOND = 150;
+    private static final int BURST_COUNT = 4;
     private static final long BURST_SPACING_MS = 900;
-    private static final Duration SHORT = Duration.ofMillis(50);
-    private static final Duration LONG = Duration.ofMillis(250);
-    /** A moment's trouble on this machine may cost so many of a hundred requests, and no more. */
-    private static final int MOST_NOT_SERVED_PERCENT = 1;
+    private static final Duration SHORT_FAULT = Duration.ofMillis(50);
+    private static final Duration LONG_FAULT = Duration.ofMillis(250);
+    /** The percentage of requests that may remain unserved when system calls fail for a moment. */
+    private static final int MAX_NOT_SERVED_PERCENT = 1;
     private static final SidecarSettings SHORT_DEADLINES =
             new SidecarSettings(List.of(400, 400, 400), 256, true, 1.2);
 
     @TempDir
     private Path folder;
 
-    /** What begins a burst of trouble at the sidecar. */
+    /** An action that is repeated while the fleet is under load; most begin a short fault. */
     private interface Burst {
         void begin(Fleet fleet) throws IOException;
     }
 
-    private static Burst failing(SystemFault fault, Errno error, Duration time, int perMille) {
-        return fleet -> fleet.sidecars().get(0).faults().fail(fault, error, time, perMille);
+    private static Burst failing(SystemFault fault, Errno error, Duration duration, int perMille) {
+        return fleet -> fleet.sidecars().get(0).faults().fail(fault, error, duration, perMille);
     }
 
     private Fleet fleet(SidecarProcess.LogDestination log) throws IOException {
         return new Fleet(SHORT_DEADLINES, 1, 4, SEED, folder, List.of(log));
     }
 
-    /** Plays bursts under load; nothing may break, and nearly everything has to be served. */
-    private SoakReport play(Fleet fleet, Burst burst) throws IOException {
+    /** Repeats an action at intervals while the fleet is under load, and reports on the run. */
+    private SoakReport runBursts(Fleet fleet, Burst burst) throws IOException {
         fleet.start();
-        fleet.startLoad(PER_SECOND, ClientMix.WELL_BEHAVED_ON_NEW_CONNECTIONS);
-        for (int i = 0; i < BURSTS; i++) {
+        fleet.startLoad(EXCHANGES_PER_SECOND, ClientMix.WELL_BEHAVED_ON_NEW_CONNECTIONS);
+        for (int i = 0; i < BURST_COUNT; i++) {
             StubUpstream.sleep(BURST_SPACING_MS);
             burst.begin(fleet);
         }
         StubUpstream.sleep(BURST_SPACING_MS);
         fleet.stopLoad();
-        SoakPlan plan = new SoakPlan(SEED, 1, 4, 0, PER_SECOND, SHORT_DEADLINES, 0, false, List.of());
+        SoakPlan plan = new SoakPlan(SEED, 1, 4, 0, EXCHANGES_PER_SECOND, SHORT_DEADLINES, 0, false,
+                List.of());
         SoakReport report = new SoakReport(plan, fleet.history(), check(fleet));
         report.add(fleet.sidecars().get(0), ResourceUsage.of(fleet.sidecars().get(0)));
         return report;
@@ -67,32 +71,35 @@
     private static void expectServed(SoakReport report) {
         assertEquals(List.of(), report.violations(), report::text);
         int notServed = report.requests() - report.count(End.SERVED);
-        assertTrue(notServed * 100 <= report.requests() * MOST_NOT_SERVED_PERCENT, report::text);
+        assertTrue(notServed * 100 <= report.requests() * MAX_NOT_SERVED_PERCENT, report::text);
     }
 
-    private void expectHarmless(SystemFault fault, Errno error, Duration time, int perMille)
+    private void expectHarmless(SystemFault fault, Errno error, Duration duration, int perMille)
             throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     UpstreamBehaviour.CLOSING_CONNECTIONS));
-            SoakReport report = play(fleet, failing(fault, error, time, perMille));
+            SoakReport report = runBursts(fleet, failing(fault, error, duration, perMille));
             assertTrue(report.injected(fault) > 0, "the fault was never injected");
             expectServed(report);
         }
     }
 
-    /** The listener paused for a second after a failed accept; what waited to be accepted was late. */
+    /**
+     * The listener pauses for a second after a failed accept, and the requests on connections that wait to be
+     * accepted get late responses.
+     */
     @Test
     void requestsWereLateAfterAcceptFailedForAMoment() throws IOException {
-        expectHarmless(SystemFault.ACCEPT, Errno.ENFILE, SHORT, 1000);
+        expectHarmless(SystemFault.ACCEPT, Errno.ENFILE, SHORT_FAULT, 1000);
     }
 
     @Test
     void requestsWereLateAfterAcceptedConnectionsWereAborted() throws IOException {
-        expectHarmless(SystemFault.ACCEPT, Errno.ECONNABORTED, SHORT, 500);
+        expectHarmless(SystemFault.ACCEPT, Errno.ECONNABORTED, SHORT_FAULT, 500);
     }
 
-    /** All tries were spent within a millisecond of a fault of this machine. */
+    /** A request uses up all of its attempts within a millisecond while connect fails locally. */
     @Test
     void requestsWereRefusedWhenConnectHadNoPortForAMoment() throws IOException {
         expectHarmless(SystemFault.CONNECT, Errno.EADDRNOTAVAIL, Duration.ofMillis(100), 1000);
@@ -103,90 +110,96 @@
         expectHarmless(SystemFault.CONNECT, Errno.ENETUNREACH, Duration.ofMillis(100), 1000);
     }
 
-    /** Places of connections that were never made were not given back, until none was left. */
+    /**
+     * A connection for which no socket can be created still counts towards the connection limit, until the
+     * limit is reached for good.
+     */
     @Test
     void connectionsWereCountedForeverAfterSocketFailed() throws IOException {
-        expectHarmless(SystemFault.SOCKET, Errno.ENOBUFS, LONG, 1000);
+        expectHarmless(SystemFault.SOCKET, Errno.ENOBUFS, LONG_FAULT, 1000);
     }
 
-    /** An interrupted read of a connection was taken for its end. */
+    /** A read that is interrupted is taken for the end of the connection. */
     @Test
     void connectionsWereClosedAfterAnInterruptedRead() throws IOException {
-        expectHarmless(SystemFault.READ, Errno.EINTR, LONG, 300);
+        expectHarmless(SystemFault.READ, Errno.EINTR, LONG_FAULT, 300);
     }
 
     @Test
     void connectionsWereClosedAfterAReadFailedForAMoment() throws IOException {
-        expectHarmless(SystemFault.READ, Errno.ETIMEDOUT, LONG, 100);
+        expectHarmless(SystemFault.READ, Errno.ETIMEDOUT, LONG_FAULT, 100);
     }
 
-    /** An answer that could not be written for want of memory ended its connection. */
+    /** A write that fails for lack of buffer space ends the connection, and the response is lost. */
     @Test
     void answersWereLostWhenAWriteFailedForAMoment() throws IOException {
-        expectHarmless(SystemFault.WRITE, Errno.ENOBUFS, LONG, 300);
+        expectHarmless(SystemFault.WRITE, Errno.ENOBUFS, LONG_FAULT, 300);
     }
 
     @Test
     void answersWereLostWhenAWriteWasInterrupted() throws IOException {
-        expectHarmless(SystemFault.WRITE, Errno.EINTR, LONG, 500);
+        expectHarmless(SystemFault.WRITE, Errno.EINTR, LONG_FAULT, 500);
     }
 
     @Test
     void requestsWereLostUnderShortReads() throws IOException {
-        expectHarmless(SystemFault.SHORT_READ, Errno.EINTR, LONG, 500);
+        expectHarmless(SystemFault.SHORT_READ, Errno.EINTR, LONG_FAULT, 500);
     }
 
     @Test
     void requestsWereLostUnderShortWrites() throws IOException {
-        expectHarmless(SystemFault.SHORT_WRITE, Errno.EINTR, LONG, 500);
+        expectHarmless(SystemFault.SHORT_WRITE, Errno.EINTR, LONG_FAULT, 500);
     }
 
     @Test
     void requestsWereLostUnderInterruptedWaits() throws IOException {
-        expectHarmless(SystemFault.WAIT, Errno.EINTR, LONG, 500);
+        expectHarmless(SystemFault.WAIT, Errno.EINTR, LONG_FAULT, 500);
     }
 
     @Test
     void requestsWereLostWhenTheLogsDiskWasFull() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FULL_DISK)) {
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.FAULTY));
-            SoakReport report = play(fleet, failing(SystemFault.LOG_WRITE, Errno.EIO, LONG, 1000));
+            SoakReport report = runBursts(fleet, failing(SystemFault.LOG_WRITE, Errno.EIO, LONG_FAULT, 1000));
             assertTrue(report.injected(SystemFault.LOG_WRITE) > 0, "the fault was never injected");
             assertEquals(List.of(), report.violations(), report::text);
         }
     }
 
-    /** A second answer to one request, some milliseconds late, was taken for the next request's. */
+    /**
+     * The upstream sends a second response to a request some milliseconds after the first, and the sidecar
+     * takes it for the response to the next request.
+     */
     @Test
-    void aLateSecondAnswerWasServedToTheNextRequest() throws IOException {
+    void aLateExtraResponseWasServedToTheNextRequest() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 300, 0, 0, 2, 20)));
-            expectServed(play(fleet, each -> { }));
+            expectServed(runBursts(fleet, each -> { }));
         }
     }
 
-    /** The event loop stood still in a write to a log that nobody read. */
+    /** The event loop blocks in a write to a log pipe that nobody reads. */
     @Test
     void everyRequestWasLostWhenNobodyReadTheLog() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FULL_PIPE)) {
-            // Errors are logged, and fill the pipe.
+            // Requests that fail are logged, which writes to the full pipe.
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HANGING));
-            SoakReport report = play(fleet, each -> each.upstreams()
+            SoakReport report = runBursts(fleet, each -> each.upstreams()
                     .forEach(upstream -> upstream.setBehaviour(UpstreamBehaviour.HEALTHY)));
             assertEquals(List.of(), report.violations(), report::text);
         }
     }
 
-    /** The first watch that could not be opened for want of a socket was never opened again. */
+    /** If no socket can be created for the watch, it is not opened again, and list changes are missed. */
     @Test
-    void drainWasMissedAfterAWatchFoundNoSocket() throws IOException {
+    void drainWasMissedAfterAWatchCouldNotOpenASocket() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
-            fleet.startLoad(PER_SECOND, ClientMix.WELL_BEHAVED);
-            fleet.sidecars().get(0).faults().fail(SystemFault.SOCKET, Errno.ENOBUFS, LONG);
+            fleet.startLoad(EXCHANGES_PER_SECOND, ClientMix.WELL_BEHAVED);
+            fleet.sidecars().get(0).faults().fail(SystemFault.SOCKET, Errno.ENOBUFS, LONG_FAULT);
             fleet.discovery().resetWatches();
-            StubUpstream.sleep(2 * LONG.toMillis());
+            StubUpstream.sleep(2 * LONG_FAULT.toMillis());
             fleet.updateListEntry(0, "DRAINING", 0);
             fleet.history().listUpdated(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
@@ -195,21 +208,25 @@
         }
     }
 
-    /** A start at which no socket could be had for a moment ended the process. */
+    /** The process exits if no socket can be created for a moment while it starts. */
     @Test
-    void aStartEndedWhenNoSocketCouldBeHadForAMoment() throws IOException {
+    void startupFailedWhenNoSocketCouldBeOpenedForAMoment() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             SidecarProcess sidecar = fleet.sidecars().get(0);
             fleet.configure(sidecar);
             sidecar.faults().fail(SystemFault.SOCKET, Errno.ENFILE, Duration.ofMillis(1_500));
             sidecar.start();
             fleet.requireReady(sidecar);
-            assertTrue(sidecar.faults().injectedCounts().containsKey(SystemFault.SOCKET), "never injected");
+            assertTrue(sidecar.faults().injectedCounts().containsKey(SystemFault.SOCKET),
+                    "the fault was never injected");
             assertEquals(List.of(), check(fleet));
         }
     }
 
-    /** A reload whose file could not be opened for a moment was given up. */
+    /**
+     * If a reload cannot open the configuration file, it is not repeated, and the sidecar does not learn the
+     * new address of discovery.
+     */
     @Test
     void discoveryWasLostAfterAReloadCouldNotOpenItsFile() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
@@ -218,7 +235,7 @@
             fleet.sidecars().get(0).faults().fail(SystemFault.OPEN, Errno.EMFILE, Duration.ofMillis(500));
             fleet.moveDiscovery(1);
             StubUpstream.sleep(4_000);
-            fleet.startLoad(PER_SECOND, ClientMix.WELL_BEHAVED);
+            fleet.startLoad(EXCHANGES_PER_SECOND, ClientMix.WELL_BEHAVED);
             fleet.updateListEntry(0, "DRAINING", 0);
             fleet.history().listUpdated(fleet.upstreams().get(0).uid(), RunHistory.State.DRAINING);
             StubUpstream.sleep(2 * SidecarSettings.DRAIN_GRACE_MS);
@@ -227,53 +244,66 @@
         }
     }
 
-    /** An upstream that started behind a step forward seemed to start in an hour, and was left idle. */
+    /**
+     * After the clocks of the sidecar and of discovery step forward, the start time of a restarted upstream
+     * seems to be an hour ahead, and the upstream gets no requests although it is warm.
+     */
     @Test
     void anUpstreamStayedColdAfterTheWallClockWentForward() throws IOException {
-        restartBehindStep(Duration.ofHours(1), Duration.ofHours(1));
+        restartAfterClockStep(Duration.ofHours(1), Duration.ofHours(1));
     }
 
-    /** Behind a step back, an upstream's next start was not seen as one: it was flooded while cold. */
+    /**
+     * After both clocks step back, the new start time of an upstream is earlier than its last one. The
+     * restart is not detected, and the cold upstream is overloaded.
+     */
     @Test
-    void aColdUpstreamWasFloodedAfterTheWallClockWentBack() throws IOException {
-        restartBehindStep(Duration.ofHours(-1), Duration.ofHours(-1));
+    void aColdUpstreamWasOverloadedAfterTheWallClockWentBack() throws IOException {
+        restartAfterClockStep(Duration.ofHours(-1), Duration.ofHours(-1));
     }
 
     @Test
-    void aColdUpstreamWasFloodedAfterTheSidecarsClockAloneWentForward() throws IOException {
-        restartBehindStep(Duration.ofHours(1), Duration.ZERO);
+    void aColdUpstreamWasOverloadedAfterTheSidecarsClockAloneWentForward() throws IOException {
+        restartAfterClockStep(Duration.ofHours(1), Duration.ZERO);
     }
 
     @Test
     void anUpstreamStayedColdAfterTheSidecarsClockAloneWentBack() throws IOException {
-        restartBehindStep(Duration.ofHours(-1), Duration.ZERO);
+        restartAfterClockStep(Duration.ofHours(-1), Duration.ZERO);
     }
 
-    /** Restarts an upstream behind a step of the clocks: it is spared while cold, and used once warm. */
-    private void restartBehindStep(Duration sidecarsStep, Duration discoverysStep) throws IOException {
+    /**
+     * Restarts an upstream after a step of the clocks. The upstream must not be overloaded while cold, and
+     * must get requests once it is warm.
+     */
+    private void restartAfterClockStep(Duration sidecarStep, Duration discoveryStep) throws IOException {
         try (Fleet fleet = new Fleet(SHORT_DEADLINES, 1, 3, SEED, folder, List.of())) {
             fleet.start();
-            fleet.startLoad(2 * PER_SECOND, ClientMix.WELL_BEHAVED);
+            fleet.startLoad(2 * EXCHANGES_PER_SECOND, ClientMix.WELL_BEHAVED);
             StubUpstream.sleep(1_000);
             fleet.updateListEntry(0, "SERVING", System.currentTimeMillis());
             StubUpstream.sleep(1_000);
-            fleet.sidecars().get(0).faults().stepWallClock(sidecarsStep, Duration.ofMinutes(1));
+            fleet.sidecars().get(0).faults().stepWallClock(sidecarStep, Duration.ofMinutes(1));
             fleet.upstreams().get(0).crash();
             fleet.upstreams().get(0).restart();
-            fleet.updateListEntry(0, "SERVING", System.currentTimeMillis() + discoverysStep.toMillis());
+            fleet.updateListEntry(0, "SERVING", System.currentTimeMillis() + discoveryStep.toMillis());
             fleet.history().listUpdated(fleet.upstreams().get(0).uid(), RunHistory.State.STARTED);
             StubUpstream.sleep(SidecarSettings.RAMP_MS + 500);
             long warmAt = System.nanoTime();
             StubUpstream.sleep(1_000);
             fleet.stopLoad();
             assertEquals(List.of(), check(fleet));
-            long sinceWarm = fleet.history().attempts().stream().filter(attempt ->
+            long attemptsWhenWarm = fleet.history().attempts().stream().filter(attempt ->
                     attempt.upstream().equals("s-0") && attempt.firstByteAt() > warmAt).count();
-            assertTrue(sinceWarm > PER_SECOND / 3, "a warm upstream got " + sinceWarm + " in a second");
+            assertTrue(attemptsWhenWarm > EXCHANGES_PER_SECOND / 3,
+                    "the warm upstream got only " + attemptsWhenWarm + " attempts in a second");
         }
     }
 
-    /** The end came later than SIGKILL, and what was still out for long classes was never answered. */
+    /**
+     * Shutdown waits longer than the time until SIGKILL, and open requests with long deadlines never get a
+     * response.
+     */
     @Test
     void requestsWereUnansweredWhenSigkillCameBeforeTheLongestDeadline() throws IOException {
         SidecarSettings longDeadlines = new SidecarSettings(List.of(8_000, 8_000, 8_000), 256, true, 1.2);
@@ -288,22 +318,22 @@
         }
     }
 
-    /** Requests behind the one being answered were begun for a client that had left. */
+    /** Pipelined requests behind the current one are forwarded although their client has disconnected. */
     @Test
-    void requestsWereForwardedForClientsThatRanAheadAndLeft() throws IOException {
+    void requestsWereForwardedForClientsThatPipelinedAndDisconnected() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.start();
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 150, 250)));
             for (int i = 0; i < 10; i++) {
-                runAhead(fleet, i);
+                pipelineAndDisconnect(fleet, i);
             }
             StubUpstream.sleep(1_000);
             assertEquals(List.of(), check(fleet));
         }
     }
 
-    private static void runAhead(Fleet fleet, int number) throws IOException {
+    private static void pipelineAndDisconnect(Fleet fleet, int number) throws IOException {
         try (HttpExchange client = new HttpExchange(fleet.sidecars().get(0).address())) {
             StringBuilder text = new StringBuilder();
             for (int i = 0; i < 4; i++) {
