--- a/src/test/java/pondridge/testbed/SoakIT.java
+++ b/src/test/java/pondridge/testbed/SoakIT.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The short, seeded soak; the long one is started by hand (README). */
+/** Runs the soak for a short time with fixed seeds. Longer soaks are started with {@link Main}. */
 @Isolated
 class SoakIT {
     private static final SoakPlan.Size SIZE = new SoakPlan.Size(10, 8, 15, 30, 6);
@@ -24,7 +24,7 @@
         assertEquals(List.of(), report.violations(), report::text);
     }
 
-    /** What a seed plays must not depend on when or where it is played. */
+    /** A plan that depends on more than its arguments cannot be repeated from the seed of a failed run. */
     @Test
     void aSeedDrawsTheSamePlanEachTime() {
         assertEquals(SoakPlan.draw(7, SIZE, true), SoakPlan.draw(7, SIZE, true));
