--- a/src/main/java/pondridge/testbed/AttemptRecord.java
+++ b/src/main/java/pondridge/testbed/AttemptRecord.java
@@ -6,7 +6,7 @@
  *
  * @param number unique among all attempts of a run; the response's body carries it back to the client
  * @param toldMs the deadline in the header {@code Req-Deadline-Ms}, in milliseconds, or -1 without the header
- * @param declined whether the upstream rejected the attempt: it promised not to have processed the request
+ * @param declined whether the upstream rejected the attempt: its response says that it was not processed
  */
 record AttemptRecord(long number, String requestId, String upstream, long firstByteAt, long lastByteAt,
         long toldMs, boolean declined) { }
--- a/src/main/java/pondridge/testbed/HttpExchange.java
+++ b/src/main/java/pondridge/testbed/HttpExchange.java
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Reads the next response. The time that is left now limits each read of the socket, not their sum, so
+     * Reads the next response. The time until the limit becomes the timeout of each read of the socket, so
      * that a response whose bytes arrive slowly may take longer.
      *
      * @param untilNanos the time limit, as a value of {@link System#nanoTime}
--- a/src/main/java/pondridge/testbed/Invariant.java
+++ b/src/main/java/pondridge/testbed/Invariant.java
@@ -13,7 +13,10 @@
     GENUINE,
     /** No attempt begins after the request's response or after its client has disconnected. */
     NOT_FORWARDED_AFTER_END,
-    /** A request that must not run twice is not sent again once it may have run; attempts are limited. */
+    /**
+     * A request that must not be processed twice is not sent again once an upstream may have processed it,
+     * and no request has too many attempts.
+     */
     NOT_DUPLICATED,
     /** The deadline that is sent to an upstream is at most the time that the client still waits. */
     DEADLINE_HONEST,
@@ -24,8 +27,8 @@
     /** A client that sends no valid request gets an error or a closed connection in time. */
     BAD_CLIENT_DISMISSED,
     /**
-     * A sidecar starts in time and exits only when it is told to. If it exits too late after SIGTERM, it is
-     * killed, and its open requests violate the other invariants.
+     * A sidecar starts in time and does not exit without a signal. If it exits too late after SIGTERM, it is
+     * killed, and its open requests violate ANSWERED or NOT_CLOSED_UPON.
      */
     ALIVE,
     /** The sidecar's own self-check reports no violation. */
--- a/src/main/java/pondridge/testbed/InvariantChecker.java
+++ b/src/main/java/pondridge/testbed/InvariantChecker.java
@@ -84,10 +84,10 @@
     }
 
     /**
-     * Whether the request may have ended without a complete response. This is so if SIGKILL ended the sidecar
-     * without a SIGTERM before it, about when the request was sent or while it was open. It is also so if the
-     * connection was closed on a request that was not forwarded, and either the request was sent between
-     * SIGTERM and the exit, or idle clients used up file descriptors.
+     * Whether the request may have ended without a complete response. This is so if SIGKILL, without a
+     * SIGTERM before it, ended the sidecar while the request was open or at most {@link #SOCKET_SLACK_MS}
+     * before it was sent. It is also so if the connection was closed, the request was not forwarded, and
+     * either the request was sent between SIGTERM and the exit or idle clients used up file descriptors.
      */
     private boolean isLossAllowed(RequestRecord request) {
         if (idleClients && request.end == End.CLOSED && !history.wasForwarded(request.id)) {
@@ -166,9 +166,9 @@
     }
 
     /**
-     * Checks every overload window during a cold upstream's ramp. The rate that the upstream could serve when
-     * warm is estimated as that of the busiest other upstream in the same window, or as the median rate if
-     * that is higher.
+     * Checks how many attempts a cold upstream gets in each overload window that begins with an attempt
+     * during its ramp. The rate that it could serve when warm is estimated as that of the busiest other
+     * upstream in the same window, or as the median rate if that is higher.
      */
     private void checkSlowStart(ListEvent event, List<AttemptRecord> sent) {
         double medianPerMs = medianRatePerMs();
@@ -222,8 +222,8 @@
     }
 
     /**
-     * Returns the attempts per millisecond and upstream in the median second. Seconds in which no attempt
-     * arrived do not count: no load is sent in the pauses of a run.
+     * Returns the attempts per millisecond and upstream in the median second. Seconds without attempts are
+     * left out, because a run has pauses in its load.
      */
     private double medianRatePerMs() {
         List<AttemptRecord> all = history.attempts();
--- a/src/main/java/pondridge/testbed/Main.java
+++ b/src/main/java/pondridge/testbed/Main.java
@@ -20,7 +20,7 @@
 
     /**
      * Runs the randomized fault soak for one seed or for consecutive seeds. The help text shows the names of
-     * the fields.
+     * the fields as the names of the options' values.
      */
     @Command(name = "soak", mixinStandardHelpOptions = true,
             description = "Runs the randomized fault soak; the exit status is 1 if it finds a violation.")
--- a/src/main/java/pondridge/testbed/RequestRecord.java
+++ b/src/main/java/pondridge/testbed/RequestRecord.java
@@ -17,7 +17,7 @@
         FAILED,
         /** The client closed or reset its connection before the response. */
         LEFT,
-        /** The request was not written in full, or the sidecar closed when it may leave a request unread. */
+        /** The request was not written in full, or the sidecar closed the connection before reading it. */
         NOT_TAKEN,
         /** The connection ended without a response. */
         CLOSED,
@@ -31,12 +31,13 @@
     final int sidecar;
     final RequestClass requestClass;
     final int deadlineMs;
+    /** When the whole request had been written. */
     volatile long sentAt;
     volatile long endedAt;
     volatile End end = End.OPEN;
     /** The attempt number in the body that was served, or -1 if there is none for this request. */
     volatile long servedAttempt = -1;
-    /** More on how the request ended; "closes" if the response announces the end of its connection. */
+    /** Why the request ended so; "closes" if its response announces the end of the connection. */
     volatile String detail = "";
 
     RequestRecord(String id, int sidecar, RequestClass requestClass, int deadlineMs) {
--- a/src/main/java/pondridge/testbed/RunHistory.java
+++ b/src/main/java/pondridge/testbed/RunHistory.java
@@ -24,13 +24,13 @@
     /** What the list says of an upstream; STARTED means that it has restarted and is cold. */
     enum State { STARTED, DRAINING, REMOVED }
 
-    /** Sidecars must have replaced a silent watch, and know the current list, within this time. */
+    /** How long after a watch falls silent the sidecars must know the current list. */
     private static final long MAX_UPDATE_DELAY_AFTER_SILENCE_NANOS = 6_000_000_000L;
 
-    /** Sidecars must know the list of a discovery service that has moved within this time. */
+    /** How long after discovery moves to another address the sidecars must know the current list. */
     private static final long MAX_UPDATE_DELAY_AFTER_MOVE_NANOS = 4_000_000_000L;
 
-    /** Sidecars need not know changes of the list before this time. */
+    /** Until this time, the sidecars need not know changes of the list. */
     private volatile long updatesDueAt = System.nanoTime();
     private final Map<String, RequestRecord> requests = new ConcurrentHashMap<>();
     private final Map<String, Queue<AttemptRecord>> attempts = new ConcurrentHashMap<>();
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Records that discovery has sent a change of its list. It counts as known at once, or later if watches
-     * fell silent in the last 6 s or discovery moved in the last 4 s.
+     * Records that discovery has sent a change of its list. The sidecars must know it at once; but if watches
+     * fell silent in the last 6 s, or discovery moved in the last 4 s, when that time has passed.
      */
     void listUpdated(String upstream, State state) {
         long now = System.nanoTime();
@@ -65,7 +65,7 @@
         postponeUpdates(System.nanoTime() + MAX_UPDATE_DELAY_AFTER_SILENCE_NANOS);
     }
 
-    /** Records that discovery moves and the sidecars get a signal to reload their configuration. */
+    /** Records that discovery moves to another address, which the sidecars learn by a reload. */
     void discoveryMoved() {
         postponeUpdates(System.nanoTime() + MAX_UPDATE_DELAY_AFTER_MOVE_NANOS);
     }
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -111,15 +111,15 @@
     }
 
     /**
-     * A connection for which no socket can be created still counts towards the connection limit, until the
-     * limit is reached for good.
+     * A connection for which no socket can be created counts towards the connection limit for ever, until no
+     * connection can be opened any more.
      */
     @Test
     void connectionsWereCountedForeverAfterSocketFailed() throws IOException {
         expectHarmless(SystemFault.SOCKET, Errno.ENOBUFS, LONG_FAULT, 1000);
     }
 
-    /** A read that is interrupted is taken for the end of the connection. */
+    /** A read that is interrupted is treated as the end of the connection. */
     @Test
     void connectionsWereClosedAfterAnInterruptedRead() throws IOException {
         expectHarmless(SystemFault.READ, Errno.EINTR, LONG_FAULT, 300);
@@ -168,7 +168,7 @@
 
     /**
      * The upstream sends a second response to a request some milliseconds after the first, and the sidecar
-     * takes it for the response to the next request.
+     * uses it as the response to the next request.
      */
     @Test
     void aLateExtraResponseWasServedToTheNextRequest() throws IOException {
@@ -246,7 +246,7 @@
 
     /**
      * After the clocks of the sidecar and of discovery step forward, the start time of a restarted upstream
-     * seems to be an hour ahead, and the upstream gets no requests although it is warm.
+     * seems to be an hour ahead, and the upstream gets hardly any requests although it is warm.
      */
     @Test
     void anUpstreamStayedColdAfterTheWallClockWentForward() throws IOException {
