--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -156,8 +156,8 @@
         history.add(request);
         boolean retry = sendOver(request, text, behaviour, disconnectAfterMs, connection);
         if (retry) {
-            // The sidecar closed the idle connection while the request was on its way: it is sent once more,
-            // on a new connection.
+            // The sidecar closed the idle connection before it read the request. The request is sent once
+            // more, on a new connection.
             HttpExchange newConnection = openConnection();
             if (newConnection == null
                     || sendOver(request, text, behaviour, disconnectAfterMs, newConnection)) {
