--- a/src/main/java/pondridge/testbed/HttpExchange.java
+++ b/src/main/java/pondridge/testbed/HttpConnection.java
@@ -8,8 +8,8 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client's connection to a sidecar, which carries one HTTP exchange after another. */
-final class HttpExchange implements Closeable {
+/** A client's connection to a sidecar, which carries one exchange after another. */
+final class HttpConnection implements Closeable {
     private static final int CONNECT_TIMEOUT_MS = 3_000;
 
     private final Socket socket = new Socket();
@@ -17,7 +17,7 @@
     private int completedExchanges;
     private long idleSinceNanos;
 
-    HttpExchange(InetSocketAddress address) throws IOException {
+    HttpConnection(InetSocketAddress address) throws IOException {
         try {
             socket.setTcpNoDelay(true);
             socket.connect(address, CONNECT_TIMEOUT_MS);
--- a/src/main/java/pondridge/testbed/IdleClients.java
+++ b/src/main/java/pondridge/testbed/IdleClients.java
@@ -6,13 +6,13 @@
 
 /** Clients that open connections to a sidecar, send nothing on them, and so use up its file descriptors. */
 final class IdleClients implements AutoCloseable {
-    private final List<HttpExchange> connections = new ArrayList<>();
+    private final List<HttpConnection> connections = new ArrayList<>();
 
     /** Opens the given number of connections, or fewer if one cannot be opened. */
     IdleClients(SidecarProcess sidecar, int count) {
         try {
             for (int i = 0; i < count; i++) {
-                connections.add(new HttpExchange(sidecar.address()));
+                connections.add(new HttpConnection(sidecar.address()));
             }
         } catch (IOException e) {
             // The sidecar has exited or accepts no more connections. Those that are open stay open.
@@ -22,6 +22,6 @@
     /** Resets all connections. */
     @Override
     public void close() {
-        connections.forEach(HttpExchange::reset);
+        connections.forEach(HttpConnection::reset);
     }
 }
--- a/src/main/java/pondridge/testbed/LoadGenerator.java
+++ b/src/main/java/pondridge/testbed/LoadGenerator.java
@@ -41,7 +41,7 @@
     private final ExecutorService clientThreads;
     private final String runName;
     private final ClientMix clientMix;
-    private final ArrayDeque<HttpExchange> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<HttpConnection> idleConnections = new ArrayDeque<>();
     private volatile boolean stopped;
     private Thread generatorThread;
 
@@ -95,7 +95,7 @@
 
     /** Closes the idle connections. */
     synchronized void closeIdleConnections() {
-        for (HttpExchange connection : idleConnections) {
+        for (HttpConnection connection : idleConnections) {
             connection.reset();
         }
         idleConnections.clear();
@@ -149,7 +149,7 @@
         RequestRecord request = newRequest(number, 0, random);
         String text = requestText(request, random);
         int disconnectAfterMs = random.nextInt(Math.max(1, request.deadlineMs / 4));
-        HttpExchange connection = takeConnection();
+        HttpConnection connection = takeConnection();
         if (connection == null) {
             return;
         }
@@ -158,7 +158,7 @@
         if (retry) {
             // The sidecar closed the idle connection before it read the request. The request is sent once
             // more, on a new connection.
-            HttpExchange newConnection = openConnection();
+            HttpConnection newConnection = openConnection();
             if (newConnection == null
                     || sendOver(request, text, behaviour, disconnectAfterMs, newConnection)) {
                 request.end(End.NOT_TAKEN, "closed twice before it was read");
@@ -173,7 +173,7 @@
      *     written, or was closed before the request was forwarded
      */
     private boolean sendOver(RequestRecord request, String text, ClientBehaviour behaviour,
-            int disconnectAfterMs, HttpExchange connection) {
+            int disconnectAfterMs, HttpConnection connection) {
         boolean reused = connection.isReused();
         try {
             if (behaviour == ClientBehaviour.WRITES_SLOWLY) {
@@ -202,7 +202,8 @@
         return false;
     }
 
-    private void disconnect(RequestRecord request, boolean withReset, int delayMs, HttpExchange connection) {
+    private void disconnect(RequestRecord request, boolean withReset, int delayMs,
+            HttpConnection connection) {
         StubUpstream.sleep(delayMs);
         request.end(End.LEFT, "");
         if (withReset) {
@@ -213,7 +214,7 @@
     }
 
     /** Waits for the response, records its details, and returns how the request ended. */
-    private End readResponse(RequestRecord request, HttpExchange connection) {
+    private End readResponse(RequestRecord request, HttpConnection connection) {
         long timeoutAt = request.sentAt + (request.deadlineMs + RESPONSE_SLACK_MS) * 1_000_000L;
         try {
             HttpMessage response = connection.read(timeoutAt);
@@ -238,7 +239,7 @@
         }
     }
 
-    private void finish(RequestRecord request, HttpExchange connection, End end) {
+    private void finish(RequestRecord request, HttpConnection connection, End end) {
         boolean reusable = (end == End.SERVED || end == End.REFUSED || end == End.FAILED)
                 && !request.detail.equals("closes") && clientMix != ClientMix.WELL_BEHAVED_ON_NEW_CONNECTIONS;
         request.end(end, request.detail);
@@ -254,7 +255,7 @@
      * the connection count as not taken.
      */
     private void pipelineRequests(int number, ClientBehaviour behaviour, Random random) {
-        HttpExchange connection = openConnection();
+        HttpConnection connection = openConnection();
         if (connection == null) {
             return;
         }
@@ -286,7 +287,7 @@
         closeQuietly(connection);
     }
 
-    private void readResponses(List<RequestRecord> requests, int responseCount, HttpExchange connection) {
+    private void readResponses(List<RequestRecord> requests, int responseCount, HttpConnection connection) {
         End lastEnd = End.OPEN;
         boolean closeAnnounced = false;
         for (RequestRecord request : requests.subList(0, responseCount)) {
@@ -302,7 +303,7 @@
 
     private void expectErrorOrClose(String text, ClientBehaviour behaviour) {
         long startedAt = System.nanoTime();
-        try (HttpExchange connection = new HttpExchange(address)) {
+        try (HttpConnection connection = new HttpConnection(address)) {
             long connectedAt = System.nanoTime();
             connection.send(text);
             HttpMessage response = connection.read(connectedAt + BAD_CLIENT_LIMIT_MS * 1_000_000L);
@@ -319,10 +320,10 @@
     }
 
     /** Returns an idle connection, or a new one, or null if none can be opened. */
-    private HttpExchange takeConnection() {
+    private HttpConnection takeConnection() {
         synchronized (this) {
             while (!idleConnections.isEmpty()) {
-                HttpExchange connection = idleConnections.pollLast();
+                HttpConnection connection = idleConnections.pollLast();
                 if (connection.idleMs() < MAX_IDLE_MS) {
                     return connection;
                 }
@@ -332,21 +333,21 @@
         return openConnection();
     }
 
-    private synchronized void keepConnection(HttpExchange connection) {
+    private synchronized void keepConnection(HttpConnection connection) {
         connection.exchangeCompleted();
         idleConnections.addLast(connection);
     }
 
     /** Returns a new connection, or null if it cannot be opened. */
-    private HttpExchange openConnection() {
+    private HttpConnection openConnection() {
         try {
-            return new HttpExchange(address);
+            return new HttpConnection(address);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private static void closeQuietly(HttpExchange connection) {
+    private static void closeQuietly(HttpConnection connection) {
         try {
             connection.close();
         } catch (IOException e) {
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -334,7 +334,7 @@
     }
 
     private static void pipelineAndDisconnect(Fleet fleet, int number) throws IOException {
-        try (HttpExchange client = new HttpExchange(fleet.sidecars().get(0).address())) {
+        try (HttpConnection client = new HttpConnection(fleet.sidecars().get(0).address())) {
             StringBuilder text = new StringBuilder();
             for (int i = 0; i < 4; i++) {
                 String id = "ahead-" + number + "-" + i;
