--- a/src/main/java/pondridge/testbed/FaultProxy.java
+++ b/src/main/java/pondridge/testbed/FaultProxy.java
@@ -49,13 +49,13 @@
         server.resetConnections();
     }
 
-    private void serve(Socket client) throws IOException {
+    private void serve(Socket sidecar) throws IOException {
         try (Socket upstream = new Socket(InetAddress.getLoopbackAddress(), upstreamPort)) {
             upstream.setTcpNoDelay(true);
-            LoopbackServer.startThread("proxy-responses", () -> forwardResponses(upstream, client));
-            copy(client.getInputStream(), upstream.getOutputStream());
+            LoopbackServer.startThread("proxy-responses", () -> forwardResponses(upstream, sidecar));
+            copy(sidecar.getInputStream(), upstream.getOutputStream());
         } catch (IOException e) {
-            LoopbackServer.reset(client);
+            LoopbackServer.reset(sidecar);
         }
     }
 
@@ -66,18 +66,18 @@
         }
     }
 
-    private void forwardResponses(Socket upstream, Socket client) {
+    private void forwardResponses(Socket upstream, Socket sidecar) {
         byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = upstream.getInputStream();
             for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
                 awaitEndOfDelay();
-                writeResponse(client.getOutputStream(), buffer, count);
+                writeResponse(sidecar.getOutputStream(), buffer, count);
             }
-            client.close();
+            sidecar.close();
         } catch (IOException e) {
             // One side reset its connection, so the other connection is reset, too.
-            LoopbackServer.reset(client);
+            LoopbackServer.reset(sidecar);
             LoopbackServer.reset(upstream);
         }
     }
--- a/src/main/java/pondridge/testbed/Fleet.java
+++ b/src/main/java/pondridge/testbed/Fleet.java
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Runs load against a stub upstream without a sidecar and discards its records. Without it, the first
-     * times that a cold testbed records are some hundred milliseconds too late.
+     * Runs load against a stub upstream without a sidecar and discards its records. Without it, the testbed's
+     * JVM still loads its code, and the first times that it records are some hundred milliseconds too late.
      */
     private void warmUp() throws IOException {
         RunHistory discarded = new RunHistory();
--- a/src/main/java/pondridge/testbed/LoopbackServer.java
+++ b/src/main/java/pondridge/testbed/LoopbackServer.java
@@ -89,7 +89,7 @@
         try (socket) {
             handler.handle(socket);
         } catch (IOException e) {
-            // The peer ended the connection.
+            // The other side ended the connection.
         } finally {
             openConnections.remove(socket);
         }
--- a/src/main/java/pondridge/testbed/PlannedFault.java
+++ b/src/main/java/pondridge/testbed/PlannedFault.java
@@ -40,19 +40,33 @@
         SEND_ENOBUFS(SystemFault.SEND, Errno.ENOBUFS, 1000),
         CLOCK_FORWARD(SystemFault.WALL_CLOCK, null, 1000),
         CLOCK_BACK(SystemFault.WALL_CLOCK, null, 1000),
+        /** SIGSTOP suspends the sidecar's process for a short time. */
         STALL,
+        /** Some requests to the upstream fail, in each of the ways of {@link UpstreamBehaviour#FAULTY}. */
         UPSTREAM_TROUBLED,
+        /** The upstream sends no responses. */
         UPSTREAM_HUNG,
+        /** The upstream's process dies and restarts cold. */
         UPSTREAM_RESTART,
+        /** The upstream drains, leaves the list and returns cold. */
         UPSTREAM_DRAIN,
+        /** The upstream's connections are reset. */
         PROXY_RESET,
+        /** The upstream's responses are delayed. */
         PROXY_HOLD,
+        /** The upstream's responses arrive in small fragments. */
         PROXY_CUT,
+        /** The connections to discovery are reset. */
         WATCH_RESET,
+        /** The open watches send nothing any more. */
         WATCH_SILENT,
+        /** Discovery moves, and the sidecars reload their configuration. */
         RELOAD,
+        /** As RELOAD, but the sidecars cannot open the file at first. */
         RELOAD_UNREADABLE,
+        /** The sidecar gets SIGTERM, and SIGKILL if it does not exit in time; then it is restarted. */
         TERMINATE,
+        /** The sidecar gets SIGKILL and is restarted. */
         KILL;
 
         private final SystemFault systemFault;
--- a/src/main/java/pondridge/testbed/StubDiscovery.java
+++ b/src/main/java/pondridge/testbed/StubDiscovery.java
@@ -136,7 +136,7 @@
             }
             StubUpstream.sleep(POLL_INTERVAL_MS);
         }
-        // A silenced watch stays open until the client closes it.
+        // A silenced watch stays open until the sidecar closes it.
         while (connection.getInputStream().read() >= 0) {
             StubUpstream.sleep(POLL_INTERVAL_MS);
         }
