--- a/src/test/java/pondridge/EmbeddingExampleTest.java
+++ b/src/test/java/pondridge/EmbeddingExampleTest.java
@@ -11,7 +11,10 @@
 import pondridge.Balancer.Upstream;
 import pondridge.Balancer.UpstreamState;
 
-/** Compiles and runs the README's example of how a host embeds the balancer. */
+/**
+ * An example of how a host embeds the balancer: it reports events, carries out the actions, and creates a new
+ * balancer after a restart.
+ */
 class EmbeddingExampleTest {
 
     @Test
--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -204,7 +204,7 @@
         assertTrue(nextId > 2_000, "enough requests in the sequence");
     }
 
-    /** Moves the clock in steps of a tick, as a host does whose clock moves in batches. */
+    /** Moves the clock in steps of 5 ms, like a host that reports events once in each tick interval. */
     private void advanceInTicks(int millis) {
         for (int passed = 0; passed < millis; passed += 5) {
             host.advance(5 * MS);
--- a/src/test/java/pondridge/RulesTest.java
+++ b/src/test/java/pondridge/RulesTest.java
@@ -322,7 +322,7 @@
 
     /**
      * A sidecar with little traffic reaches each upstream only every few seconds. A cold upstream that had to
-     * wait for its place in the cycle would get less than its share.
+     * wait for its turn in the cycle would get less than its share.
      */
     @Test
     void coldUpstreamGetsItsShareWhereTheCycleTakesSeconds() {
@@ -566,11 +566,11 @@
     }
 
     /**
-     * With many upstreams no concurrency limit of a single upstream is reached. Without a window over all of
-     * them, every request that arrives right after a start would be sent at once.
+     * With many upstreams no concurrency limit of a single upstream is reached. Without the attempt window,
+     * which covers all of them, every request that arrives right after a start would be sent at once.
      */
     @Test
-    void concurrencyWindowStartsSmallAndGrowsWithTimelyResponses() {
+    void attemptWindowStartsSmallAndGrowsWithTimelyResponses() {
         RecordingHost host = new RecordingHost(RecordingHost.peerMessageSettings(ONCE), 7).withUpstreams(100);
         host.burst(0, 100, 0);
         assertTrue(host.attempts.size() <= 8, "attempts sent right after a start: " + host.attempts.size());
--- a/src/test/java/pondridge/UnusualSettingsTest.java
+++ b/src/test/java/pondridge/UnusualSettingsTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void singleUpstreamGetsAllRequestsAndAgainAfterAConnectFailure() {
+    void singleUpstreamGetsAllRequestsEvenAfterAConnectFailure() {
         RecordingHost host = minimalHost(3, RecordingHost.ONCE).withUpstreams(1);
         host.serveSequentially(0, 50, 0, 10 * MS);
         assertEquals(50, host.attempts.size());
--- a/src/test/java/pondridge/adapter/PackagedJarIT.java
+++ b/src/test/java/pondridge/adapter/PackagedJarIT.java
@@ -19,6 +19,7 @@
  * standard output holds complete frames only.
  */
 class PackagedJarIT {
+    /** Exit status, standard output and standard error of one run. */
     private record Result(int status, byte[] out, String err) { }
 
     private static Result run(byte[] input, String... args) throws IOException, InterruptedException {
--- a/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
+++ b/src/test/java/pondridge/sidecar/AsyncLogStreamTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
+/** Writes log lines to outputs that block or fail; neither may stop the event loop or lose later lines. */
 class AsyncLogStreamTest {
     private static final int LINE_COUNT = 10_000;
 
--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/ConfigTest.java
@@ -15,7 +15,7 @@
 class ConfigTest {
 
     @Test
-    void settingsAreReadAsTheSimulatorSendsThem() throws Exception {
+    void settingsAreReadFromTheJsonTree() throws Exception {
         Config config = Config.of(SidecarHarness.configJson());
         Settings settings = config.settingsReader().settings();
         assertEquals(List.of("rate", "q"), settings.reportFields());
--- a/src/test/java/pondridge/sidecar/DeployedIT.java
+++ b/src/test/java/pondridge/sidecar/DeployedIT.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts both programs with the commands of the deploy file, from the packaged jar. */
+/**
+ * Starts the sidecar ({@code run}) and the adapter ({@code sim}) from the packaged jar, with the commands of
+ * the deploy file.
+ */
 class DeployedIT {
     private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
--- a/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -23,6 +23,7 @@
             "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
     private static final String DELTA_END = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
+    /** One list update that the client reported. */
     private record ListUpdate(ListUpdateType type, List<DiscoveryClient.ListEntry> entries) { }
 
     private final MultiThreadIoEventLoopGroup group =
--- a/src/test/java/pondridge/sidecar/FailedRequestLogTest.java
+++ b/src/test/java/pondridge/sidecar/FailedRequestLogTest.java
@@ -9,7 +9,9 @@
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
 
+/** The text of the log lines about failed requests, and the limits on their number and length. */
 class FailedRequestLogTest {
+    /** One millisecond in nanoseconds. */
     private static final long MS = 1_000_000;
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
     private final FailedRequestLog failedRequestLog = new FailedRequestLog(
--- a/src/test/java/pondridge/sidecar/PeerMessengerTest.java
+++ b/src/test/java/pondridge/sidecar/PeerMessengerTest.java
@@ -22,6 +22,7 @@
 /** Sends and receives peer messages on real sockets. */
 @Timeout(FakeUpstream.TIMEOUT_S)
 class PeerMessengerTest {
+    /** A peer message that was received; {@code from} is the sender's index in the list of peers. */
     private record Received(int from, byte[] message) { }
 
     private final MultiThreadIoEventLoopGroup group =
--- a/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
+++ b/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
+/** Submits requests to the dispatcher directly, without a connection to a client. */
 class RequestDispatcherTest {
     /** A client that has disconnected; counts the responses it is given. */
     private static final class DisconnectedClient implements RequestDispatcher.ClientCallback {
--- a/src/test/java/pondridge/sidecar/SidecarHarness.java
+++ b/src/test/java/pondridge/sidecar/SidecarHarness.java
@@ -77,7 +77,10 @@
         return new SidecarHarness(configJson(upstreams));
     }
 
-    /** A configuration with request classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
+    /**
+     * A configuration with one tenant and with request classes look (safe: REPEATABLE), hold (keyed: BY_KEY)
+     * and book (unsafe: ONCE).
+     */
     static ObjectNode configJson(FakeUpstream... upstreams) throws IOException {
         ObjectNode root = (ObjectNode) Config.JSON.readTree("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
--- a/src/test/java/pondridge/sidecar/StallEstimatorTest.java
+++ b/src/test/java/pondridge/sidecar/StallEstimatorTest.java
@@ -5,7 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Too low an estimate leaves too little time for a response before its deadline. */
 class StallEstimatorTest {
+    /** One millisecond in nanoseconds. */
     private static final long MS = 1_000_000;
 
     @Test
--- a/src/test/java/pondridge/sidecar/StalledRequestTest.java
+++ b/src/test/java/pondridge/sidecar/StalledRequestTest.java
@@ -6,6 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
+/** Requests that arrive while the event loop of a real sidecar is stalled. */
 class StalledRequestTest {
     /**
      * A request that was left unread while the event loop was stalled has less time left than usual. It used
--- a/src/test/java/pondridge/sidecar/StartTimeConverterTest.java
+++ b/src/test/java/pondridge/sidecar/StartTimeConverterTest.java
@@ -5,7 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Converts start times of the wall clock while that clock is stepped forward and back. */
 class StartTimeConverterTest {
+    /** One millisecond in nanoseconds, the unit of all times without a suffix. */
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
     private static final long HOUR_MS = 3_600_000;
--- a/src/test/java/pondridge/sidecar/UpstreamClientTest.java
+++ b/src/test/java/pondridge/sidecar/UpstreamClientTest.java
@@ -40,7 +40,7 @@
     private final BlockingQueue<float[]> loadReports = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/pondridge/sidecar/WarmUpTest.java
+++ b/src/test/java/pondridge/sidecar/WarmUpTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import pondridge.SettingsReader;
 
-/** A warm-up calls one of its two callbacks, whatever happens during it. */
+/**
+ * A warm-up calls one of its two callbacks, whatever happens during it. If it called neither, the sidecar
+ * would neither become ready nor exit.
+ */
 class WarmUpTest {
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -15,8 +15,8 @@
 import pondridge.testbed.RequestRecord.End;
 
 /**
- * Runs a real sidecar under one type of fault at a time. The tests are named after the failures that they
- * guard against.
+ * Runs a real sidecar under one type of fault at a time. Each test is named after the failure that it guards
+ * against; its comment says how that failure comes about without the guard.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class FaultInjectionIT {
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void answersWereLostWhenAWriteWasInterrupted() throws IOException {
+    void responsesWereLostWhenAWriteWasInterrupted() throws IOException {
         expectHarmless(SystemFault.WRITE, Errno.EINTR, LONG_FAULT, 500);
     }
 
@@ -305,7 +305,7 @@
      * response.
      */
     @Test
-    void requestsWereUnansweredWhenSigkillCameBeforeTheLongestDeadline() throws IOException {
+    void requestsGotNoResponseWhenSigkillCameBeforeTheLongestDeadline() throws IOException {
         SidecarSettings longDeadlines = new SidecarSettings(List.of(8_000, 8_000, 8_000), 256, true, 1.2);
         try (Fleet fleet = new Fleet(longDeadlines, 1, 4, SEED, folder, List.of())) {
             fleet.start();
