--- a/src/main/java/pondridge/Balancer.java
+++ b/src/main/java/pondridge/Balancer.java
@@ -58,7 +58,10 @@
         RESET(false),
         /** Cancelled by {@link Actions#cancel}. */
         CANCELLED(false),
-        /** Not sent by the host: the request had finished, or it had no attempt or no time left. */
+        /**
+         * Not sent by the host: the request had finished, it had no attempt or no time left, or the host
+         * itself could not open a connection.
+         */
         NEVER_SENT(true);
 
         private final boolean neverRan;
@@ -163,7 +166,8 @@
      * @param retryAfter a refusal may carry a retry-after time
      * @param maxAttempts limit of the attempts of one request, the first included
      * @param maxRetryAfter longest retry-after time
-     * @param connectTimeout time after which the host gives up a connection attempt
+     * @param connectTimeout time within which the host opens a connection, or the attempt ends as
+     *     {@link Outcome#CONNECT_FAILED}
      */
     record Capabilities(boolean cancel, boolean probes, boolean peers, boolean parallelAttempts,
             boolean retryAfter, int maxAttempts, long maxRetryAfter, long connectTimeout) {
@@ -211,8 +215,9 @@
     }
 
     /**
-     * Settings of an instance. {@link Rules} ignores zone, weights, valueByWork and overQuotaValue; hosts set
-     * them for other implementations.
+     * Settings of an instance. {@link Rules} does not read zone, weights, valueByWork and overQuotaValue, nor
+     * {@link RequestClass#value}, {@link Tenant#share}, {@link Capabilities#connectTimeout},
+     * {@link Limits#answerSlack} and {@link Limits#drainGrace}; hosts set them for other implementations.
      *
      * @param sidecarIndex index of this sidecar among {@code sidecarCount}, from 0 on
      * @param tickInterval shortest time between two events
@@ -253,7 +258,7 @@
     }
 
     /**
-     * A request of a client.
+     * A request of a client. {@link Rules} does not read {@code key} and {@code write}.
      *
      * @param classIndex index in {@link Settings#classes()}
      * @param tenant index in {@link Settings#tenants()}
@@ -295,7 +300,7 @@
         /** Closes the idle connections to an upstream. */
         void closeIdleConnections(long upstream);
 
-        /** Sends up to 256 bytes to a peer, or to {@link #ALL_PEERS}; messages may be lost. */
+        /** Sends up to 256 bytes to a peer (a sidecar index) or {@link #ALL_PEERS}; messages may be lost. */
         void sendToPeer(int peer, byte[] message);
 
         /** Writes a line to the log. */
@@ -345,7 +350,7 @@
     /** A load probe has ended; {@code load} is as in {@link #attemptEnded}. */
     default void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) { }
 
-    /** A message from another sidecar has arrived. */
+    /** A message from another sidecar has arrived; {@code from} is the sender's sidecar index. */
     default void peerMessageReceived(long now, int from, byte[] message) { }
 
     /** One line for operators: the present state, and the outcomes of attempts since the previous call. */
--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -79,7 +79,7 @@
     public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {
         PendingRequest pending = tracker.requests.get(request);
         if (pending != null && attempt < pending.attempts.size()) {
-            pending.streaming = true;
+            pending.responseBegun = true;
         }
     }
 
@@ -173,9 +173,10 @@
         }
 
         /**
-         * Returns the upstream for the next attempt, or null if none is eligible: of the next two eligible
-         * ones, the one with fewer attempts in flight, on a tie the first. Only a request's first attempt
-         * advances the index: few upstreams are eligible for a retry, and turns would become uneven.
+         * Returns the upstream for the next attempt, or null if none is eligible: for a first attempt a cold
+         * upstream with slow-start budget, if there is one, else of the next two eligible ones the one with
+         * fewer attempts in flight, on a tie the first. Only a request's first attempt advances the index:
+         * few upstreams are eligible for a retry, and turns would become uneven.
          */
         TrackedUpstream pick(long now, PendingRequest pending, double toleratedSlowdown) {
             if (!pending.attempts.isEmpty() && !tracker.mayRetry(now, pending)) {
@@ -261,7 +262,7 @@
         long ejectionNanos;  // ejection duration: time from one trial attempt to the next
         double concurrencyLimit = AdmissionController.INITIAL_CONCURRENCY_LIMIT;
         long limitReducedAt;
-        double reportedInFlight = Double.MAX_VALUE;  // by its last probe, plus attempts since; or unknown
+        double reportedInFlight = Double.MAX_VALUE;  // by last probe, plus attempts since; MAX_VALUE: unknown
         boolean suspect;  // ejected for its warnings, until they fall to half the threshold
         final DecayingSum warnings;  // of this sidecar and of its peers
         final List<PendingRequest> probingRequests = new ArrayList<>(2);  // waiting for its load probe
@@ -302,7 +303,7 @@
         final List<Attempt> attempts = new ArrayList<>(2);
         boolean finished;  // has its final response, or the client disconnected
         boolean queued;
-        boolean streaming;  // the response has begun
+        boolean responseBegun;  // the response has begun
         boolean probesSent;  // load probes were sent for its next attempt
         int probesLeft;  // without a result so far
         List<TrackedUpstream> probed = List.of();
@@ -338,7 +339,7 @@
                     detector.latencyEstimators[request.classIndex()].expected(request.costHint()));
             requests.put(request.id(), pending);
             timerQueue.schedule(pending.deadline, at -> {
-                if (!pending.streaming) {
+                if (!pending.responseBegun) {
                     refuseOrFail(pending, FailureReason.DEADLINE);
                 }
             });
@@ -357,7 +358,8 @@
 
         /** Whether another attempt is allowed now, whichever upstream it goes to. */
         boolean mayRetry(long now, PendingRequest pending) {
-            if (pending.finished || pending.streaming || now >= pending.deadline || pending.awaitsOutcome()
+            if (pending.finished || pending.responseBegun || now >= pending.deadline
+                    || pending.awaitsOutcome()
                     || pending.attempts.size() >= settings.capabilities().maxAttempts()) {
                 return false;
             }
@@ -370,7 +372,7 @@
             };
         }
 
-        /** Whether it has had no attempt of this request and, for a keyed repeat, recognizes the key. */
+        /** Whether the upstream has had no attempt of the request and recognizes the key of a keyed retry. */
         boolean mayUse(PendingRequest pending, TrackedUpstream upstream) {
             for (Attempt attempt : pending.attempts) {
                 if (attempt.upstream == upstream) {
@@ -466,7 +468,7 @@
 
         /** Ends a request and cancels its outstanding attempt, which stays in flight until its outcome. */
         void finish(PendingRequest pending) {
-            if (!pending.finished && pending.awaitsOutcome() && !pending.streaming
+            if (!pending.finished && pending.awaitsOutcome() && !pending.responseBegun
                     && settings.capabilities().cancel()) {
                 actions.cancel(pending.request.id(), pending.attempts.size() - 1);
             }
@@ -638,8 +640,8 @@
                 return upstream.inFlight == 0 && warmCount(now) == 0;
             }
             if (!upstream.coldBudgetInitialized) {
-                // Without a charge, hundreds of sidecars would send their first requests together. Each
-                // starts with a random debt of up to one request, so that their sum keeps to the rate.
+                // Starting at 0, hundreds of sidecars would send their first requests together. Each starts
+                // with a random debt of up to one request, so that their sum keeps to the rate.
                 upstream.coldBudgetInitialized = true;
                 upstream.coldBudget = -random.nextDouble() * estimatedWork(pending);
             }
@@ -763,8 +765,8 @@
         /** By class, over all upstreams; they start from a tenth of the latency target. */
         private final LatencyEstimator[] latencyEstimators = new LatencyEstimator[settings.classes().size()];
         private final long minLatencyTarget;  // of all classes, in ns
-        private final DecayingSum recentAttempts;  // of this sidecar at all upstreams
-        private final double recentWindow;  // of recentAttempts: eight latency targets, in ns
+        private final DecayingSum recentlySent;  // attempts of this sidecar at all upstreams
+        private final double recentWindow;  // of recentlySent: eight latency targets, in ns
 
         OutlierDetector() {
             for (int i = 0; i < latencyEstimators.length; i++) {
@@ -773,7 +775,7 @@
             minLatencyTarget =
                     settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(1);
             recentWindow = 8.0 * minLatencyTarget;
-            recentAttempts = new DecayingSum(recentWindow, 0);
+            recentlySent = new DecayingSum(recentWindow, 0);
         }
 
         private void updateExpectedResponses(long now, TrackedUpstream upstream) {
@@ -784,7 +786,7 @@
         void attemptSent(long now, TrackedUpstream upstream, PendingRequest pending) {
             updateExpectedResponses(now, upstream);
             upstream.responseRate += 1 / pending.expectedDuration;
-            recentAttempts.add(now, 1);
+            recentlySent.add(now, 1);
             if (upstream.nextTrialAt > 0) {
                 upstream.ejectionNanos = Math.min(upstream.ejectionNanos * 2, initialEjectionNanos(now) * 8);
                 upstream.nextTrialAt = now + upstream.ejectionNanos;
@@ -815,7 +817,7 @@
          * together keep it overloaded.
          */
         private long initialEjectionNanos(long now) {
-            double cycle = registry.ready.size() * recentWindow / Math.max(1, recentAttempts.value(now));
+            double cycle = registry.ready.size() * recentWindow / Math.max(1, recentlySent.value(now));
             return (long) Math.max(minLatencyTarget, Math.min(2 * cycle, 32.0 * minLatencyTarget));
         }
 
@@ -902,14 +904,15 @@
 
     /** Decides whether a request is sent, queued or shed, and adapts the limits of concurrent attempts. */
     private final class AdmissionController {
-        /** Enough to choose between two; with more, sidecars that start together would overload upstreams. */
+        // With 1, all eligible upstreams would have no attempt in flight, and none would be the less loaded
+        // one; with more than 2, sidecars that start together would overload upstreams.
         static final double INITIAL_CONCURRENCY_LIMIT = 2;
         /** Share of the latency target: a slower attempt leaves no time for a retry with its own delays. */
         private static final double SLOW_TARGET_SHARE = 0.4;
         private static final int MAX_VOTES = 1000;  // high: client retries may be the majority for a while
         /** An in-time ratio of four in five is healthy: the rest is chance and single faults. */
         private static final double INVERSE_HEALTHY_RATIO = 1.25;
-        /** Too few to overload an upstream; a single one might wait for an upstream that does not respond. */
+        /** Too few to overload an upstream. A window of 1 might be filled by an attempt without response. */
         private static final double MIN_WINDOW_PER_UPSTREAM = 4;
         // Added to the attempts and to those in time. Otherwise a sidecar with little traffic, which sees a
         // few attempts in two latency targets, would shed a third when two of them are late by chance.
@@ -928,7 +931,7 @@
         // With hundreds of upstreams and sidecars, concurrency limits per upstream have no effect, and the
         // first requests of all sidecars after a restart or a burst would overload upstreams. It doubles each
         // round trip in the initial growth phase, and then grows by one.
-        private double window;
+        private double attemptWindow;
         private boolean initialGrowth = true;
         private long windowReducedAt;  // the window shrinks at most once per round trip
         private int attemptsInWindow;
@@ -1004,8 +1007,8 @@
          * less is sent. Nothing is shed while four fifths of the recent attempts were in time; below, the
          * share sent is the cube of the in-time ratio, as a proportional share would sustain the overload.
          * Clients send shed requests again, so marked client retries are shed more often. Shed requests give
-         * no evidence: sidecars that shed together would not notice that upstreams recover. Each counts as in
-         * time with even chance, so that a few are sent in any overload.
+         * no evidence: sidecars that shed together would not notice that upstreams recover. Half of them are
+         * counted as in time, so that a few requests are sent in any overload.
          */
         private double shedProbability(long now) {
             double shedCount = recentShed.value(now);
@@ -1099,7 +1102,7 @@
         private double currentWindow() {
             double min = MIN_WINDOW_PER_UPSTREAM
                     * Math.max(1, (double) registry.ready.size() / settings.sidecarCount());
-            return Math.max(window, initialGrowth ? 2 * min : min);
+            return Math.max(attemptWindow, initialGrowth ? 2 * min : min);
         }
 
         /** Grows a half-used window at a healthy in-time ratio; else a late attempt shrinks it. */
@@ -1108,9 +1111,9 @@
                     >= recentAttempts.value(now) + PRIOR_IN_TIME;
             double current = currentWindow();
             if (inTime && healthy && 2 * attemptsInWindow >= current) {
-                window = current + (initialGrowth ? 1 : Math.min(0.2 * current, 1 / current));
+                attemptWindow = current + (initialGrowth ? 1 : Math.min(0.2 * current, 1 / current));
             } else if (!inTime && !healthy && attempt.sentAt >= windowReducedAt) {
-                window = 0.8 * Math.min(current, attemptsInWindow);
+                attemptWindow = 0.8 * Math.min(current, attemptsInWindow);
                 initialGrowth = false;
                 windowReducedAt = now;
             }
@@ -1209,7 +1212,7 @@
             allWarnings.add(now, 1);
         }
 
-        /** Whether it has far more warnings than the average, so a common fault makes none a suspect. */
+        /** Whether an upstream has far more warnings than average; a common fault makes none a suspect. */
         boolean isSuspect(long now, TrackedUpstream upstream) {
             double threshold = MIN_SUSPECT_WARNINGS
                     + 2 * allWarnings.value(now) / Math.max(1, registry.ready.size());
@@ -1238,7 +1241,7 @@
         private double usualInFlight;  // moving average of the reports
         private double nanosPerRequest;  // moving average per request in flight
 
-        /** With no more sidecars than upstreams, its own counts show enough of an upstream's load. */
+        /** With no more sidecars than upstreams, this sidecar's counts show enough of upstreams' load. */
         boolean isEnabled() {
             return affordable && settings.sidecarCount() > registry.ready.size();
         }
--- a/src/main/java/pondridge/TimerQueue.java
+++ b/src/main/java/pondridge/TimerQueue.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Runs the timers that are due. The host timer is recognized by its token: a host with a coarse clock may
-     * fire it early, and recognized by its time it would count as still set, so that no other would follow.
+     * Runs the timers that are due. The host timer is recognized by its token, not by its time: a host with a
+     * coarse clock may fire it early, and it would then count as still set, so that no other would be set.
      */
     void timerFired(long now, long token) {
         if (token == hostTimerToken) {
