--- a/src/main/java/pondridge/sidecar/Acceptor.java
+++ b/src/main/java/pondridge/sidecar/Acceptor.java
@@ -27,11 +27,11 @@
         /**
          * Called for each accepted connection before it is registered; adds the connection's handlers.
          *
-         * @param acceptDelayNanos how long accepting has been failing, and so the longest time that the
-         *     connection may have waited in the backlog
+         * @param failingNanos how long accepting has been failing, during which the connection may have
+         *     waited in the backlog; 0 if accepting has not been failing
          * @return whether to keep the connection; otherwise it is closed
          */
-        boolean accepted(Channel connection, long acceptDelayNanos);
+        boolean accepted(Channel connection, long failingNanos);
 
         /** Called when {@code accept} has failed; it is retried after a few milliseconds. */
         void acceptFailed();
--- a/src/main/java/pondridge/sidecar/AsyncLogStream.java
+++ b/src/main/java/pondridge/sidecar/AsyncLogStream.java
@@ -97,9 +97,9 @@
 
     /** Blocks until all queued lines are written, for a limited time; used before the process exits. */
     void awaitWritten(long timeoutMs) {
-        long giveUpAt = System.nanoTime() + timeoutMs * 1_000_000;
+        long waitUntil = System.nanoTime() + timeoutMs * 1_000_000;
         try {
-            while (pendingBytes.get() > 0 && System.nanoTime() < giveUpAt) {
+            while (pendingBytes.get() > 0 && System.nanoTime() < waitUntil) {
                 Thread.sleep(POLL_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
--- a/src/main/java/pondridge/sidecar/ClientConnection.java
+++ b/src/main/java/pondridge/sidecar/ClientConnection.java
@@ -29,7 +29,7 @@
         implements RequestDispatcher.ClientCallback {
     /** From connecting to the end of the first request, and from the first byte of a later one to its end. */
     static final long REQUEST_READ_TIMEOUT_MS = 2_200;
-    /** From a response to the end of the next request; longer than most clients pause. */
+    /** From a response to the first byte of the next request; longer than most clients pause. */
     private static final long IDLE_TIMEOUT_MS = 5_000;
     /** Time for the event loop to read its sockets once more before a connection is closed. */
     private static final long FINAL_READ_DELAY_MS = 1;
@@ -78,7 +78,7 @@
     private long requestsRead;
     /** How many requests have been started: the position of the latest one. */
     private long requestsStarted;
-    /** Requests before this position are aborted or refused, since the time of the one at it is up. */
+    /** Latest position of a request that is out of time, or 0; those before it are aborted or refused. */
     private long abortBefore;
     private long idleSince;
     private boolean keepAlive = true;
@@ -338,8 +338,8 @@
     }
 
     @Override
-    public void onRefused(long retryAfter) {
-        respond(Responses.refused(retryAfter));
+    public void onRefused(long retryAfterNanos) {
+        respond(Responses.refused(retryAfterNanos));
     }
 
     @Override
--- a/src/main/java/pondridge/sidecar/EventLoopMonitor.java
+++ b/src/main/java/pondridge/sidecar/EventLoopMonitor.java
@@ -66,6 +66,7 @@
         return now - (waited ? selectReturnedAt : previousSelectReturnedAt);
     }
 
+    /** Passes the events of one channel on, after reporting them to the monitor. */
     private final class MonitoredHandle implements NioIoHandle {
         private final NioIoHandle delegate;
 
@@ -104,6 +105,7 @@
         }
     }
 
+    /** Passes all calls on to the loop's I/O handler, and reports its polls to the monitor. */
     private final class MonitoredHandler implements IoHandler {
         private final IoHandler delegate;
 
--- a/src/main/java/pondridge/sidecar/Frontend.java
+++ b/src/main/java/pondridge/sidecar/Frontend.java
@@ -17,7 +17,7 @@
 final class Frontend implements Acceptor.Listener {
     /** The protocol permits closing a connection that has been idle for 2 s, which makes room for another. */
     private static final long MIN_IDLE_BEFORE_CLOSE_NANOS = 2_000_000_000;
-    /** Limit for the bodies of queued requests, over all connections. */
+    /** Limit for the bodies of requests queued behind others of their connection, over all connections. */
     private static final int MAX_QUEUED_BYTES = 8 << 20;
     /**
      * One eighth more connections than the limit are accepted, and each request on them is refused with a
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public boolean accepted(Channel channel, long acceptDelayNanos) {
+    public boolean accepted(Channel channel, long failingNanos) {
         if (connections.size() >= maxConnections) {
             closeLongestIdle();
         }
@@ -70,7 +70,7 @@
         RequestDecoder decoder = new RequestDecoder();
         ClientConnection connection = new ClientConnection(this, dispatcher, channel, decoder,
                 connections.size() >= maxConnections,
-                Math.max(acceptDelayNanos, loopMonitor.maxUnreadNanos(System.nanoTime())));
+                Math.max(failingNanos, loopMonitor.maxUnreadNanos(System.nanoTime())));
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new RequestAggregator(), connection);
         return true;
     }
--- a/src/main/java/pondridge/sidecar/IoRetry.java
+++ b/src/main/java/pondridge/sidecar/IoRetry.java
@@ -22,12 +22,12 @@
      * @throws IOException that of the last run
      */
     static <T> T retryOnIoException(long timeoutMs, IoAction<T> action) throws IOException {
-        long giveUpAt = System.nanoTime() + timeoutMs * 1_000_000;
+        long retryUntil = System.nanoTime() + timeoutMs * 1_000_000;
         while (true) {
             try {
                 return action.run();
             } catch (IOException e) {
-                if (System.nanoTime() >= giveUpAt) {
+                if (System.nanoTime() >= retryUntil) {
                     throw e;
                 }
                 sleepBeforeRetry();
--- a/src/main/java/pondridge/sidecar/LifecycleGuard.java
+++ b/src/main/java/pondridge/sidecar/LifecycleGuard.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * Checks the invariants of requests and connections. Before a request is started, sent, repeated or answered,
- * or an idle connection closed, the caller checks here whether that is allowed. A step that is not allowed is
- * counted as blocked, an invariant found broken is counted as a violation and logged. The state line shows
- * both counts.
+ * Checks the invariants of requests and connections. Before a request is started, sent, retried or finished
+ * with a response, or an idle connection closed, the caller checks here whether that is allowed. A step that
+ * is not allowed is counted as blocked, an invariant found broken is counted as a violation and logged. The
+ * state line shows both counts.
  *
  * <p>The {@code may} methods belong on the event loop; a call on another thread is reported as a violation.
  * The {@code report} methods may be called on any thread.
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -74,13 +74,15 @@
     /** Starts all parts of the sidecar; runs on the event loop. */
     private static void start(EventLoop loop, EventLoopMonitor monitor, Config config, Path configFile,
             boolean rehearsal) {
+        // Half of the sockets are for upstreams, which also limits the pending requests; three eighths are
+        // for clients.
         RequestDispatcher dispatcher = new RequestDispatcher(loop, config, config.maxSockets() / 2);
         Frontend frontend = new Frontend(dispatcher, monitor, config.settingsReader(),
                 config.maxSockets() * 3 / 8);
         dispatcher.start(config.cachedList());
         SighupHandler.handle(new ConfigReloader(loop, configFile, dispatcher));
-        long giveUpAt = System.nanoTime() + MAX_START_RETRY_MS * 1_000_000;
-        listen(loop, config, frontend, giveUpAt, address -> {
+        long retryUntil = System.nanoTime() + MAX_START_RETRY_MS * 1_000_000;
+        listen(loop, config, frontend, retryUntil, address -> {
             addShutdownHook(loop, config, dispatcher, frontend);
             WarmUp.run(loop, config.settingsReader(), address,
                     rehearsal ? Main::exitAfterRehearsal : () -> ready(config, frontend),
@@ -90,15 +92,15 @@
 
     /**
      * Listens for clients. While the address is in use or no socket can be opened, it tries again until
-     * {@code giveUpAt}, and then ends the process.
+     * {@code retryUntil}, and then ends the process.
      */
-    private static void listen(EventLoop loop, Config config, Frontend frontend, long giveUpAt,
+    private static void listen(EventLoop loop, Config config, Frontend frontend, long retryUntil,
             Consumer<InetSocketAddress> onListening) {
         Consumer<Throwable> onFailure = cause -> {
-            if (System.nanoTime() >= giveUpAt) {
+            if (System.nanoTime() >= retryUntil) {
                 failStart("listen: " + cause.getMessage());
             } else {
-                loop.schedule(() -> listen(loop, config, frontend, giveUpAt, onListening),
+                loop.schedule(() -> listen(loop, config, frontend, retryUntil, onListening),
                         LISTEN_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             }
         };
--- a/src/main/java/pondridge/sidecar/PeerMessenger.java
+++ b/src/main/java/pondridge/sidecar/PeerMessenger.java
@@ -31,14 +31,14 @@
      * {@code allPeers} are null and {@code peers} is empty.
      *
      * @param listen this sidecar's own address
-     * @param peers the address of each sidecar, this one included; the position is the sidecar's number
+     * @param peers the address of each sidecar, this one included, by sidecar index
      * @param allPeers the address that a message for all sidecars is sent to
      */
     record Addresses(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress allPeers) { }
 
     /** Receives the messages of the other sidecars. */
     interface Listener {
-        /** Called with the sender's number among the sidecars. */
+        /** Called for each message; {@code peer} is the sender's sidecar index. */
         void messageReceived(int peer, byte[] message);
     }
 
@@ -107,6 +107,7 @@
         }
     }
 
+    /** Passes datagrams to the listener; drops those that are too long or not from a known sidecar. */
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -36,7 +36,8 @@
  * The frontend submits requests here; attempts go out through {@link UpstreamClient}.
  *
  * <p>All methods run on the event loop. Whatever the balancer and the upstreams do, each request gets one
- * final response, and each send is reported to the balancer with one outcome.
+ * final response, and each send is reported to the balancer with one outcome. As in {@link Balancer}, times
+ * and durations are in nanoseconds unless their name says otherwise.
  */
 final class RequestDispatcher implements Balancer.Actions {
     /** Time kept for the response's way back to the client, in addition to the reserve for stalls. */
@@ -50,9 +51,11 @@
     /**
      * A client's request as parsed by {@link RequestParser}.
      *
+     * @param key a hash of the last segment of the path
      * @param waitedNanos how long the request may have waited in this sidecar before it is submitted:
      *     unaccepted, unread, or behind earlier requests on its connection
      * @param timeoutMs how long the client waits for the response, counted from its send
+     * @param costHint estimated work in nanoseconds; 0 if unknown
      */
     record ClientRequest(int classIndex, int tenant, long key, long waitedNanos, long timeoutMs,
             long costHint, boolean clientRetry, HttpMethod method, String uri, HttpHeaders headers,
@@ -83,9 +86,9 @@
         /**
          * The request was not processed, so a retry is safe.
          *
-         * @param retryAfter nanoseconds after which the client should retry; 0 for no advice
+         * @param retryAfterNanos after which time the client should retry; 0 if the response gives no time
          */
-        void onRefused(long retryAfter);
+        void onRefused(long retryAfterNanos);
 
         /** The request failed and may have been processed. */
         void onFailed();
@@ -317,8 +320,8 @@
                 TimeUnit.NANOSECONDS);
         deliver(now -> {
             pending.deadline = now + timeLeft - reserve;
-            // The balancer identifies client retries by a timeout that differs from the usual one. The time
-            // already waited is therefore added to the reserve, not subtracted from the timeout.
+            // The balancer identifies client retries by a time left that differs from the usual one of the
+            // class. The time already waited is therefore not subtracted from it, but added to the reserve.
             balancer.requestArrived(now, new Request(id, clientRequest.classIndex(), clientRequest.tenant(),
                     clientRequest.key(), clientTimeout, reserve + clientRequest.waitedNanos(),
                     clientRequest.costHint(), clientRequest.clientRetry(),
--- a/src/main/java/pondridge/sidecar/RequestParser.java
+++ b/src/main/java/pondridge/sidecar/RequestParser.java
@@ -38,8 +38,8 @@
     /**
      * Parses a request for the dispatcher.
      *
-     * @param waitedNanos how long the request has waited in this sidecar: unaccepted, unread or queued. The
-     *     client's timeout has run meanwhile.
+     * @param waitedNanos how long the request may have waited in this sidecar: unaccepted, unread, or behind
+     *     earlier requests on its connection. The client's timeout has run meanwhile.
      * @throws IllegalArgumentException if a header is missing or invalid; the client gets its message
      */
     RequestDispatcher.ClientRequest parse(FullHttpRequest message, long waitedNanos) {
--- a/src/main/java/pondridge/sidecar/Responses.java
+++ b/src/main/java/pondridge/sidecar/Responses.java
@@ -39,12 +39,13 @@
     /**
      * A refusal, after which a client retry is safe.
      *
-     * @param retryAfter nanoseconds after which to retry; 0 for a response without {@code Retry-After}
+     * @param retryAfterNanos after which time to retry; 0 for a response without {@code Retry-After}
      */
-    static FullHttpResponse refused(long retryAfter) {
+    static FullHttpResponse refused(long retryAfterNanos) {
         FullHttpResponse response = plainText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
-        if (retryAfter > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf(retryAfter, NANO_SCALE)
+        if (retryAfterNanos > 0) {
+            response.headers().set(HttpHeaderNames.RETRY_AFTER,
+                    BigDecimal.valueOf(retryAfterNanos, NANO_SCALE)
                     .setScale(MILLI_SCALE, RoundingMode.UP).toPlainString());
         }
         return response;
--- a/src/main/java/pondridge/sidecar/StartTimeConverter.java
+++ b/src/main/java/pondridge/sidecar/StartTimeConverter.java
@@ -21,6 +21,7 @@
     private static final long MAX_AHEAD_NANOS = 1_000 * NANOS_PER_MS;
     private static final int MAX_OFFSETS = 64;
 
+    /** One start of an upstream, by the wall clock and by the monotonic clock. */
     private record KnownStart(long startedAtWallMs, long startedAtNanos) { }
 
     /** Wall-clock time minus monotonic time in nanoseconds; the oldest first. */
--- a/src/main/java/pondridge/sidecar/UpstreamClient.java
+++ b/src/main/java/pondridge/sidecar/UpstreamClient.java
@@ -112,18 +112,18 @@
      * <p>Idle connections are closed if the address has changed or the upstream has restarted: a machine that
      * failed abruptly has not closed them, and a request written to one would count as possibly processed.
      *
-     * @param startedMs when the upstream's process started, in wall-clock time; 0 if unknown
+     * @param startedAtMs when the upstream's process started, in wall-clock time; 0 if unknown
      */
-    void updateUpstream(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
+    void updateUpstream(long upstream, InetSocketAddress address, long startedAtMs, boolean ready) {
         if (!ready) {
             removeUpstream(upstream);
             return;
         }
         Pool pool = pools.computeIfAbsent(upstream, id -> new Pool());
-        boolean restarted = startedMs != 0 && startedMs != pool.startedMs;
+        boolean restarted = startedAtMs != 0 && startedAtMs != pool.startedAtMs;
         if (!address.equals(pool.address) || restarted) {
             pool.address = address;
-            pool.startedMs = startedMs;
+            pool.startedAtMs = startedAtMs;
             pool.closeIdle();
         }
     }
@@ -200,7 +200,7 @@
         return connectionCount;
     }
 
-    /** Closes all idle connections and stops looking for expired ones. */
+    /** Closes all idle connections and ends the regular check for expired ones. */
     void close() {
         idleCheck.cancel(false);
         pools.values().forEach(Pool::closeIdle);
@@ -222,7 +222,7 @@
         /** Attempts whose request has not been written. */
         private final Set<Attempt> unwritten = new LinkedHashSet<>();
         private InetSocketAddress address;
-        private long startedMs;
+        private long startedAtMs;
         private boolean ready = true;
 
         /** Removes and returns the most recently used connection idle for at least a time; null if none. */
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -115,6 +115,7 @@
         }
     }
 
+    /** The actions of the separate balancer, which have no effect. */
     private static final class NoOpActions implements Balancer.Actions {
         @Override
         public void send(long request, long upstream, long timeout) { }
--- a/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
+++ b/src/test/java/pondridge/sidecar/RequestDispatcherTest.java
@@ -25,7 +25,7 @@
         }
 
         @Override
-        public void onRefused(long retryAfter) {
+        public void onRefused(long retryAfterNanos) {
             responses.incrementAndGet();
         }
 
