--- a/src/main/java/pondridge/sidecar/RequestDispatcher.java
+++ b/src/main/java/pondridge/sidecar/RequestDispatcher.java
@@ -84,7 +84,7 @@
         void onServed(UpstreamResponse response);
 
         /**
-         * The request was not processed, so a retry is safe.
+         * The request was refused: a client retry is safe.
          *
          * @param retryAfterNanos after which time the client should retry; 0 if the response gives no time
          */
--- a/src/main/java/pondridge/testbed/StubUpstream.java
+++ b/src/main/java/pondridge/testbed/StubUpstream.java
@@ -15,7 +15,7 @@
  */
 final class StubUpstream implements AutoCloseable {
     private static final int MAX_PADDING_BYTES = 2_000;
-    private static final long EXTRA_RESPONSE_DELAY_MS = 3;
+    private static final long SURPLUS_RESPONSE_DELAY_MS = 3;
 
     private final String uid;
     private final RunHistory history;
@@ -109,9 +109,9 @@
             }
             case HANG -> awaitClose(connection);
             case MALFORMED -> write(connection, "HTTP/1.1 200 OK\r\nno header at all\r\n\r\n" + body);
-            case EXTRA_RESPONSE -> {
+            case SURPLUS_RESPONSE -> {
                 write(connection, complete);
-                sleep(EXTRA_RESPONSE_DELAY_MS);
+                sleep(SURPLUS_RESPONSE_DELAY_MS);
                 write(connection, response("200 OK", "", "surplus"));
             }
             case UNFRAMED -> {
--- a/src/main/java/pondridge/testbed/UpstreamBehaviour.java
+++ b/src/main/java/pondridge/testbed/UpstreamBehaviour.java
@@ -12,14 +12,14 @@
  * @param resetMidResponse the connection is reset within the response
  * @param hang never gets a response
  * @param malformed gets a response whose header section is not valid HTTP
- * @param extraResponse is served, and a second response follows some milliseconds later
+ * @param surplusResponse is served, and a second response follows some milliseconds later
  * @param unframed is served without a content length; the end of the connection ends the body
  * @param closeAfter is served, and the connection is closed although the response does not announce it
  * @param minServiceMs shortest time until the response, in milliseconds
  * @param maxServiceMs longest time until the response, in milliseconds
  */
 record UpstreamBehaviour(int error, int reject, int reset, int resetMidResponse, int hang, int malformed,
-        int extraResponse, int unframed, int closeAfter, int minServiceMs, int maxServiceMs) {
+        int surplusResponse, int unframed, int closeAfter, int minServiceMs, int maxServiceMs) {
     static final UpstreamBehaviour HEALTHY = new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 20);
     /** Every type of failure at once, each for a small share of the requests, and slower responses. */
     static final UpstreamBehaviour FAULTY =
@@ -32,12 +32,12 @@
 
     /** What the upstream does with one request; in the order of the record's components. */
     enum Disposition {
-        ERROR, REJECT, RESET, RESET_MID_RESPONSE, HANG, MALFORMED, EXTRA_RESPONSE, UNFRAMED, CLOSE_AFTER,
+        ERROR, REJECT, RESET, RESET_MID_RESPONSE, HANG, MALFORMED, SURPLUS_RESPONSE, UNFRAMED, CLOSE_AFTER,
         SERVE
     }
 
     Disposition draw(Random random) {
-        int[] perMille = {error, reject, reset, resetMidResponse, hang, malformed, extraResponse, unframed,
+        int[] perMille = {error, reject, reset, resetMidResponse, hang, malformed, surplusResponse, unframed,
             closeAfter};
         int drawn = random.nextInt(1000);
         for (int i = 0; i < perMille.length; i++) {
--- a/src/test/java/pondridge/testbed/FaultInjectionIT.java
+++ b/src/test/java/pondridge/testbed/FaultInjectionIT.java
@@ -171,7 +171,7 @@
      * uses it as the response to the next request.
      */
     @Test
-    void aLateExtraResponseWasServedToTheNextRequest() throws IOException {
+    void aLateSurplusResponseWasServedToTheNextRequest() throws IOException {
         try (Fleet fleet = fleet(SidecarProcess.LogDestination.FILE)) {
             fleet.upstreams().forEach(upstream -> upstream.setBehaviour(
                     new UpstreamBehaviour(0, 0, 0, 0, 0, 0, 300, 0, 0, 2, 20)));
